--- a/src/raft/config.hpp
+++ b/src/raft/config.hpp
@@ -1,4 +1,4 @@
-// Settings of one Raft replica.
+// Configuration of one Raft replica.
 #pragma once
 
 #include <cstddef>
@@ -11,40 +11,41 @@
 
 namespace pipitpond::raft {
 
-/// Mechanisms that the simulator can switch off to show what they are for. Nothing else sets them.
+/// Safety mechanisms that only the simulator switches off, to show which failures they prevent.
 struct Mechanisms {
   bool pre_vote = true;
   bool check_quorum = true;
-  bool sync_before_send = true;  ///< Off: messages overtake the disk (done by the simulated driver).
-  bool own_term_commit = true;   ///< Off: counts replicas for entries of earlier terms too.
-  bool read_quorum = true;       ///< Off: a leader answers reads without a heartbeat round.
+  bool sync_before_send = true;  ///< Off: the simulated driver sends messages before the sync.
+  bool own_term_commit = true;   ///< Off: also commits entries of earlier terms by counting replicas.
+  bool read_quorum = true;       ///< Off: a leader confirms reads without a heartbeat round.
   bool one_membership_change = true;
 };
 
 struct Config {
   core::ControlId id;
-  std::string cluster;  ///< Identity of the cluster; from the identity file.
+  std::string cluster;  ///< Cluster id, read from the identity file.
   core::Duration heartbeat_interval = protocol::kRaftHeartbeatInterval;
   core::Duration election_timeout_min = protocol::kRaftElectionTimeoutMin;
   core::Duration election_timeout_max = protocol::kRaftElectionTimeoutMax;
-  /// A snapshot without an answer is sent again after this; the pause grows while the member is silent.
+  /// An unanswered snapshot is sent again after this time; the interval grows while the member stays silent.
   core::Duration snapshot_retry = std::chrono::milliseconds(2000);
-  /// Entries kept behind a snapshot for followers that are a little behind.
+  /// Entries kept in the log before a snapshot, so that a slightly lagging follower needs no snapshot.
   std::size_t trailing_entries = 256;
-  /// The same in bytes: 256 changes of 1,340 routes were 77 MB, in memory and on a disk of 128 MB.
+  /// Bound of the same entries in bytes: 256 changes of 1,340 routes take 77 MB of memory and of disk, too
+  /// much for a disk of 128 MB.
   std::size_t trailing_bytes = std::size_t{4} * 1024 * 1024;
   std::size_t max_entries_per_append = 256;
-  /// Also how many bytes of entries may be sent to one member ahead of its answers, but for the last append.
+  /// Also bounds the bytes of unanswered entries per member; the append that crosses the bound is still sent.
   std::size_t max_bytes_per_append = std::size_t{1024} * 1024;
-  /// Proposals beyond this many uncommitted entries are refused with kOverloaded.
+  /// With this many uncommitted entries, further proposals fail with kOverloaded.
   std::size_t max_uncommitted_entries = 4096;
-  /// Replicas at places that are no member's may join by themselves. Otherwise operators add them.
+  /// Replicas at new endpoints, which no member has, may join by themselves. If false, operators add them.
   bool open_membership = false;
-  /// With open membership: a voter that was not heard for this long is removed, so that machines that are
-  /// gone for good do not add up to a majority. It joins again if it returns.
+  /// With open membership: a member that has been silent for this long is removed, so that permanently lost
+  /// machines never add up to a majority of the voters. It joins again if it returns.
   core::Duration remove_silent_after = std::chrono::seconds(6);
-  /// With open membership: silent voters are removed down to this many, which must bear the loss of as many
-  /// disks at once as the fleet is to bear.
+  /// With open membership: silent voters are removed only while at least this many voters remain. Must be
+  /// large enough to keep a majority when as many disks are lost at once as the fleet has to tolerate.
   std::size_t least_voters = 3;
   Mechanisms mechanisms;
 };
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -6,7 +6,7 @@
 namespace pipitpond::raft {
 namespace {
 
-/// True when the entries can stand behind (or around) the snapshot.
+/// True if the entries are contiguous with the snapshot or contain the snapshot's last entry.
 bool continues(const Snapshot& snapshot, const std::vector<Entry>& entries) {
   if (entries.empty()) return false;
   const auto first = entries.front().index;
@@ -33,7 +33,7 @@
   if (!continues(snapshot_, entries)) return;
   auto begin = entries.begin();
   if (begin->index <= snapshot_.index) {
-    // The first one gives the term of the entry before those that are held.
+    // The first entry itself is not kept: it supplies the term of the position before the log.
     base_ = {begin->term, begin->index};
     ++begin;
   }
@@ -135,7 +135,7 @@
 }
 
 void Log::note_membership(const Entry& entry) {
-  // Entries that a snapshot covers are in its membership already.
+  // The snapshot's membership already includes the changes up to its index.
   if (entry.kind != EntryKind::kMembership || entry.index <= snapshot_.index) return;
   memberships_.push_back({entry.index, entry.membership});
 }
--- a/src/raft/message.hpp
+++ b/src/raft/message.hpp
@@ -1,4 +1,4 @@
-// Messages between control replicas. Any of them may be lost, doubled, delayed or reordered.
+// Raft messages between control replicas. Messages may be lost, duplicated, delayed or reordered.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace pipitpond::raft {
 
-/// Number of a heartbeat round of one leader; grows with each round.
+/// Number of a heartbeat round of one leader; increases by one with each round.
 using Round = std::uint64_t;
 
-/// Asks whether the sender would be elected, without raising anybody's term.
+/// Asks whether the receiver would vote for the sender, without raising any replica's term.
 struct PreVoteRequest {
   core::LogPosition last;  ///< Last entry of the sender's log.
 
@@ -28,10 +28,10 @@
   MSGPACK_DEFINE(granted);
 };
 
-/// Asks for the receiver's vote in the message's term.
+/// Asks for the receiver's vote in the term of the message.
 struct VoteRequest {
   core::LogPosition last;  ///< Last entry of the sender's log.
-  bool transfer = false;   ///< The leader itself asked for this election.
+  bool transfer = false;   ///< Election that the leader itself requested by TimeoutNow.
 
   MSGPACK_DEFINE(last, transfer);
 };
@@ -42,29 +42,29 @@
   MSGPACK_DEFINE(granted);
 };
 
-/// Leader to follower: entries after `previous`. Without entries it is a heartbeat.
+/// Leader to follower: entries that follow `previous`. Without entries it is a heartbeat.
 struct AppendRequest {
   core::LogPosition previous;
   std::vector<Entry> entries;
   Index commit = 0;
   Round round = 0;
-  std::vector<SilentMember> silent;  ///< Voters that the leader does not hear.
+  std::vector<SilentMember> silent;  ///< Voters that do not answer the leader.
 
   MSGPACK_DEFINE(previous, entries, commit, round, silent);
 };
 
-/// Follower's answer, sent once the entries are synced.
+/// Follower's reply, sent after the entries are synced.
 struct AppendReply {
   bool matched = false;
   Index previous = 0;  ///< Copied from the request.
-  Index match = 0;     ///< Matched: last entry known to agree with the leader's log.
-  Index hint = 0;      ///< Not matched: where the leader should try next.
+  Index match = 0;     ///< If matched: last index known to agree with the leader's log.
+  Index hint = 0;      ///< If not matched: index at which the leader should probe next.
   Round round = 0;     ///< Copied from the request.
 
   MSGPACK_DEFINE(matched, previous, match, hint, round);
 };
 
-/// Leader to follower that is behind the leader's log: the whole snapshot.
+/// Leader to a follower that needs entries which the leader has compacted: the whole snapshot.
 struct SnapshotRequest {
   Snapshot snapshot;
   Round round = 0;
@@ -72,35 +72,35 @@
   MSGPACK_DEFINE(snapshot, round);
 };
 
-/// Leader to the voter that shall lead next: hold an election at once.
+/// Leader to the target of a leadership transfer: start an election without waiting for the timeout.
 struct TimeoutNow {
   std::uint8_t unused = 0;
 
   MSGPACK_DEFINE(unused);
 };
 
-/// A replica that is in no membership asks to be added as a learner. A leader adds it; whoever does not
-/// answers with a JoinReply.
+/// Sent by a replica that is not a member, to be added as a learner. The leader adds it; a receiver that
+/// can't or may not add it answers with a JoinReply.
 struct JoinRequest {
   Member member;
 
   MSGPACK_DEFINE(member);
 };
 
-/// Why a JoinRequest was not carried out.
+/// Why a JoinRequest was refused.
 enum class JoinRefusal : std::uint8_t {
-  kNotLeader,      ///< Ask the leader that the reply names; none is known if it names nobody.
-  kChangePending,  ///< Another change of the members is not committed yet: ask again.
-  kPlaceIsTaken,   ///< The member at these addresses answers: ask again when it is gone.
-  kNotAllowed,     ///< Operators let replicas in.
+  kNotLeader,      ///< Retry at the leader named in the reply; an empty name means that none is known.
+  kChangePending,  ///< Another membership change is not committed yet: retry.
+  kPlaceIsTaken,   ///< The member at this endpoint still answers: retry when it has stopped.
+  kNotAllowed,     ///< Only operators may add members at new endpoints.
 };
 
-/// What the receiver of a JoinRequest knows of those who could carry it out. It speaks for no term: the
-/// receiver may itself be cut off, behind or removed.
+/// Refusal of a JoinRequest, with the members that the sender of the reply knows. Not tied to a term: the
+/// sender may itself be partitioned, lagging or removed.
 struct JoinReply {
   JoinRefusal refusal = JoinRefusal::kNotLeader;
-  core::ControlId leader;       ///< Empty: the sender knows of none.
-  std::vector<Member> members;  ///< As the sender knows them.
+  core::ControlId leader;       ///< Empty: the sender knows no leader.
+  std::vector<Member> members;  ///< Members in the sender's log.
 
   MSGPACK_DEFINE(refusal, leader, members);
 };
@@ -108,12 +108,12 @@
 using MessageBody = std::variant<PreVoteRequest, PreVoteReply, VoteRequest, VoteReply, AppendRequest,
                                  AppendReply, SnapshotRequest, TimeoutNow, JoinRequest, JoinReply>;
 
-/// One message with its envelope.
+/// A message body with its addressing and term.
 struct Message {
-  std::string cluster;  ///< Messages of another cluster are ignored.
+  std::string cluster;  ///< Messages of other clusters are ignored.
   core::ControlId from;
   core::ControlId to;
-  Term term = 0;  ///< Sender's term; for PreVoteRequest the term it would stand in.
+  Term term = 0;  ///< Sender's term; in a PreVoteRequest the term that it would be a candidate in.
   MessageBody body;
 
   template <typename Packer>
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -14,7 +14,7 @@
       random_(seed),
       now_(now),
       // This replica may have answered a leader just before it restarted. Counting the start as a contact
-      // keeps the promise not to elect another leader for an election timeout (see has_quorum).
+      // keeps it from voting for another candidate within an election timeout, which has_quorum relies on.
       last_leader_contact_(now),
       earlier_silence_(now) {
   hard_state_.commit = std::clamp(hard_state_.commit, log_.snapshot().index, log_.last_index());
@@ -37,7 +37,7 @@
   now_ = std::max(now_, now);
   const bool joins = std::holds_alternative<JoinRequest>(message.body);
   const bool of_no_term = joins || std::holds_alternative<JoinReply>(message.body);
-  // An identity that was lost with its disk may have had this address: its messages are not for us.
+  // A replica id that was lost with its disk may have used this endpoint: its messages are dropped.
   if (message.cluster != config_.cluster || (message.to != config_.id && !joins)) return;
   if (message.from == config_.id) return;
   if (!of_no_term && !accept_term(message)) return;
@@ -51,21 +51,21 @@
   }
   if (message.term == hard_state_.term) return true;
 
-  // A pre-vote speaks of a term that nobody has entered yet.
+  // A pre-vote carries a term that no replica has entered yet.
   if (std::holds_alternative<PreVoteRequest>(message.body)) return true;
   const auto* pre_vote = std::get_if<PreVoteReply>(&message.body);
   if (pre_vote != nullptr && pre_vote->granted) return true;
 
   const auto* vote = std::get_if<VoteRequest>(&message.body);
-  // While a leader is heard, nobody else is helped into office: a replica that comes back from a partition
-  // does not disturb it, and has_quorum can promise that no other leader exists.
+  // No vote while there is contact with a leader: a replica that returns from a partition does not disrupt
+  // the leader, and has_quorum can guarantee that there is no other one.
   if (vote != nullptr && !vote->transfer && heard_from_leader_recently()) return false;
   become_follower(message.term, std::nullopt);
   return true;
 }
 
 void Node::refuse_old_term(const Message& message) {
-  // The answer carries our term, so that an old leader steps down and an old candidate catches up.
+  // The reply carries this replica's term, so that a stale leader steps down and a stale candidate adopts it.
   if (const auto* append = std::get_if<AppendRequest>(&message.body)) {
     send(message.from, AppendReply{false, append->previous.index, 0, 0, append->round});
   } else if (const auto* snapshot = std::get_if<SnapshotRequest>(&message.body)) {
@@ -80,15 +80,16 @@
 core::Result<core::LogPosition> Node::propose(core::Instant now, std::string command) {
   now_ = std::max(now_, now);
   if (role_ != Role::kLeader) {
-    return core::fail(ErrorKind::kNotLeader, "This control replica does not lead.",
-                      "Ask the leader that it names, or any other replica.");
+    return core::fail(ErrorKind::kNotLeader, "This control replica is not the leader.",
+                      "Retry at the leader that it names, or at any other replica.");
   }
   if (transfer_target_) {
-    return core::fail(ErrorKind::kLeaving, "Leadership is being handed over.", "Retry at the new leader.",
+    return core::fail(ErrorKind::kLeaving, "A leadership transfer is in progress.",
+                      "Retry at the new leader.",
                       static_cast<std::uint32_t>(core::to_millis(config_.election_timeout_min)));
   }
   if (log_.last_index() - hard_state_.commit >= config_.max_uncommitted_entries) {
-    return core::fail(ErrorKind::kOverloaded, "Too many changes wait to be committed.", "Retry later.",
+    return core::fail(ErrorKind::kOverloaded, "Too many uncommitted changes.", "Retry later.",
                       static_cast<std::uint32_t>(core::to_millis(config_.election_timeout_max)));
   }
   return append_entry(Entry{0, 0, EntryKind::kCommand, std::move(command), {}});
@@ -97,8 +98,8 @@
 core::Result<void> Node::read_index(core::Instant now, ReadToken token) {
   now_ = std::max(now_, now);
   if (role_ != Role::kLeader) {
-    return core::fail(ErrorKind::kNotLeader, "This control replica does not lead.",
-                      "Ask the leader that it names, or any other replica.");
+    return core::fail(ErrorKind::kNotLeader, "This control replica is not the leader.",
+                      "Retry at the leader that it names, or at any other replica.");
   }
   reads_.add(token);
   return core::outcome::success();
@@ -129,8 +130,9 @@
   append_wanted_ = false;
   commit_notice_wanted_ = false;
   collect_persistence(ready);
-  // Sent after the sync, because replies promise what was persisted with them. A leader's appends could go
-  // earlier, but only if its term is known to be synced; a replica that is its own majority is not there.
+  // Sent after the sync, because replies acknowledge what this Ready persists. A leader could send its
+  // appends before the sync, but only if its term is already synced; a sole voter's term is not, as it elects
+  // itself without waiting for anyone.
   ready.messages = std::exchange(messages_, {});
   ready.reads = std::exchange(read_results_, {});
   ready.decisions = std::exchange(decisions_, {});
@@ -153,8 +155,8 @@
   restore_ = false;
   if (persisted_ < log_.last_index()) {
     ready.entries = log_.range(persisted_ + 1, log_.last_index());
-    // The commit index rides along with entries, which are synced anyway: a replica that restarts applies all
-    // but the newest batch before it hears of a leader, and can tell daemons what it has.
+    // The commit index is stored with the entries, which are synced anyway. A restarted replica can then
+    // apply all but the newest batch, and serve that state to daemons, before it has contact with a leader.
     ready.hard_state = hard_state_;
   }
   ready.must_sync = ready.hard_state || ready.snapshot || !ready.entries.empty();
@@ -165,8 +167,8 @@
   if (!in_flight_) return;
   const auto done = *std::exchange(in_flight_, std::nullopt);
   applied_ = std::max(applied_, done.applied);
-  // If the log still has the entry that was persisted last, all before it are the persisted ones too (log
-  // matching). Otherwise a new leader has replaced them meanwhile, and persisted_ was lowered then.
+  // If the log still has the last persisted entry, all entries before it are the persisted ones too (log
+  // matching property). Otherwise a new leader has replaced it, and persisted_ was lowered at that time.
   if (log_.contains(done.persisted)) persisted_ = std::max(persisted_, done.persisted.index);
   if (role_ == Role::kLeader) advance_commit();
 }
--- a/src/raft/node.hpp
+++ b/src/raft/node.hpp
@@ -1,26 +1,27 @@
-// One replica of the Raft consensus protocol as a state machine without input and output.
+// One replica of the Raft consensus protocol, as a deterministic state machine that does no I/O.
 //
 // Usage, by a driver that owns the disk, the network and the clock:
 //
-//   auto node = raft::Node(config, persisted, seed, now);     (load persisted.snapshot.state yourself)
+//   auto node = raft::Node(config, persisted, seed, now);     (the driver loads persisted.snapshot.state)
 //   on a timer at node.next_timer():      node.tick(now);
 //   on a message from a peer:             node.step(now, std::move(message));
 //   on a command:                         auto position = node.propose(now, bytes);
-//   after each of these (or a batch of them: one batch is one sync):
+//   after each of these calls (or after a batch of them, which then shares one sync):
 //     while (node.has_ready()) {
 //       Ready ready = node.take_ready();
-//       persist ready.hard_state, ready.snapshot, ready.entries and sync;     // first
+//       persist ready.hard_state, ready.snapshot, ready.entries and sync;     // before anything else
 //       send ready.messages;
 //       if (ready.restore) load ready.snapshot into the state machine;
-//       apply ready.committed in order (kCommand only; other kinds change nothing in the state machine);
-//       answer ready.reads;
-//       node.advance(now);                                                    // the Ready is done
+//       apply ready.committed in order (kCommand only; other kinds do not concern the state machine);
+//       complete ready.reads;
+//       node.advance(now);                                                    // this Ready is done
 //     }
-//   now and then, when the log has grown: node.compact(applied_index, state);
+//   whenever the log has grown enough: node.compact(applied_index, state);
 //
-// A command is committed when the entry at its index has its term; when the index is committed with another
-// term, or restored over by a snapshot, the command is lost or its fate unknown: the proposer must recognise
-// commands by keys of its own. The Node holds no reference to the driver and is safe to destroy at any time.
+// A command is committed once the committed entry at its index has its term. If that index is committed with
+// another term, the command is lost; if a snapshot replaces that index, the outcome is unknown. Proposers
+// must identify their commands by keys of their own. The Node holds no reference to the driver and may be
+// destroyed at any time.
 #pragma once
 
 #include <cstdint>
@@ -46,108 +47,111 @@
 
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// What propose_membership does.
+/// Kind of a membership change.
 enum class MembershipAction : std::uint8_t {
-  kAddLearner,  ///< Becomes a voter by itself once it has caught up.
+  kAddLearner,  ///< The leader promotes it to voter once it has caught up.
   kRemove,
 };
 
-/// How a candidacy that was not won went.
+/// Votes of a candidacy, pre-vote included, that ended without a majority.
 struct LostCandidacy {
-  Term term = 0;  ///< Of the votes asked for.
+  Term term = 0;  ///< Term of the requested votes.
   std::vector<core::ControlId> granted;
   std::vector<core::ControlId> refused;
   std::vector<core::ControlId> unanswered;
 };
 
-/// The last answer to a request to join.
+/// The last JoinReply that this replica has received.
 struct JoinAnswer {
   core::ControlId from;
   JoinRefusal refusal = JoinRefusal::kNotLeader;
-  core::ControlId leader;  ///< Whom it takes for the leader; empty: nobody.
+  core::ControlId leader;  ///< Leader named in the reply; empty: none.
   core::Instant at{};
 };
 
 struct MembershipChange {
   MembershipAction action = MembershipAction::kAddLearner;
-  Member member;  ///< kRemove: only the id counts.
+  Member member;  ///< kRemove: only the id is used.
 };
 
 class Node {
  public:
-  /// Starts a replica from what its disk holds. `seed` drives the election timeouts only.
+  /// Starts a replica from its durable state. `seed` only randomizes the election timeouts.
   Node(Config config, PersistedState persisted, std::uint64_t seed, core::Instant now);
 
-  /// Lets time pass; call at next_timer() or later.
+  /// Handles elapsed timers; call at next_timer() or later.
   void tick(core::Instant now);
-  /// Handles a message. Messages for another identity or cluster are dropped.
+  /// Handles a message. Messages for another replica id or cluster are dropped.
   void step(core::Instant now, Message message);
-  /// Appends a command; where it will be if it gets committed. Fails with kNotLeader (see leader()),
-  /// kLeaving (leadership is being handed over) or kOverloaded.
+  /// Appends a command and returns its position in the log, which is final only once it is committed. Fails
+  /// with kNotLeader (see leader()), kLeaving (a leadership transfer is in progress) or kOverloaded.
   core::Result<core::LogPosition> propose(core::Instant now, std::string command);
-  /// Asks for a linearizable read; the answer comes in Ready::reads. Fails with kNotLeader.
+  /// Requests a linearizable read; the result arrives in Ready::reads. Fails with kNotLeader.
   core::Result<void> read_index(core::Instant now, ReadToken token);
-  /// Changes the members by one. Fails with kNotLeader, kConflict (another change is in progress, or this
+  /// Adds or removes one member. Fails with kNotLeader, kConflict (another change is in progress, or this
   /// leader has not yet committed an entry of its own term: retry), kAlreadyExists, kNotFound, or
-  /// kInvalidArgument (the change would remove this leader, or leave no voter).
+  /// kInvalidArgument (no id, or the change would remove this leader).
   core::Result<core::LogPosition> propose_membership(core::Instant now, const MembershipChange& change);
-  /// Hands leadership to the most suitable voter, for a planned stop; proposals are refused meanwhile. Ends
-  /// when role() is no longer kLeader: at the latest after an election timeout this replica steps down,
-  /// whether or not the other one took over. Fails with kNotLeader or kUnavailable (no other voter is in
-  /// contact).
+  /// Transfers leadership, before a planned stop, to the reachable voter with the longest matching log;
+  /// proposals fail meanwhile. The transfer is over when role() is no longer kLeader: after the longest
+  /// election timeout this replica steps down, whether or not the target was elected. Fails with kNotLeader
+  /// or kUnavailable (no other voter is reachable).
   core::Result<void> transfer_leadership(core::Instant now);
-  /// True while the driver should keep sending join_request: no member as far as this replica knows, or a
-  /// learner that hears of no leader. The change that added it may have been lost with the leader that made
-  /// it, and then nobody else knows of this replica.
+  /// True while the driver should keep sending join_request: this replica is not a member as far as it knows,
+  /// or is a learner without a known leader. The change that added it may have been lost with its leader;
+  /// then no other replica knows this one.
   [[nodiscard]] bool wants_to_join() const;
-  /// A joining replica's request, to be sent to the replicas that its settings name, to join_contacts() and
-  /// to whoever calls at its address, whatever their identities are now.
+  /// The request of a joining replica. The driver sends it to the configured replicas, to join_contacts() and
+  /// to every replica that connects to this one. It names no receiver, because their ids may have changed.
   [[nodiscard]] Message join_request(const Member& self) const;
-  /// Where else to ask: the members of this replica's log, and those that others have named in their answers.
-  /// The replicas of the settings alone may be any part of the members, or none.
+  /// Further endpoints to send join_request to: the members in this replica's log and those named in
+  /// JoinReplies. Needed because the configured replicas may be only some of the members, or none of them.
   [[nodiscard]] std::vector<core::Endpoint> join_contacts() const;
   [[nodiscard]] const std::optional<JoinAnswer>& join_answer() const { return join_answer_; }
 
   [[nodiscard]] bool has_ready() const;
-  /// The work to do now; empty until the last one was advanced.
+  /// Takes the pending work; empty until advance() was called for the previous Ready.
   Ready take_ready();
-  /// The last Ready is persisted, sent and applied.
+  /// Confirms that the last Ready is persisted, sent and applied.
   void advance(core::Instant now);
-  /// The state machine's state at `index`, which must be applied: entries before it may be dropped.
+  /// Sets the snapshot: the state of the state machine at `index`, which must be applied. May drop entries up
+  /// to `index`.
   void compact(Index index, std::string state);
 
   [[nodiscard]] Role role() const { return role_; }
   [[nodiscard]] Term term() const { return hard_state_.term; }
-  /// Who leads in term(), as far as known.
+  /// The leader of term(), as far as known.
   [[nodiscard]] const std::optional<core::ControlId>& leader() const { return leader_; }
   /// True while this replica leads and no other can have been elected: a majority of voters has answered
-  /// messages that were sent less than an election timeout ago. What is granted while it is true is granted
-  /// by the only leader. Always false while leadership is being handed over.
+  /// messages that were sent less than the shortest election timeout ago (a leader lease, with a margin for
+  /// clock drift). Always false during a leadership transfer.
   [[nodiscard]] bool has_quorum(core::Instant now) const;
-  /// True once an entry of this leader's own term is committed: the applied state is then up to date.
+  /// True once this leader has committed an entry of its own term; its commit index then covers everything
+  /// that earlier leaders committed.
   [[nodiscard]] bool leads_with_committed_term() const;
   [[nodiscard]] bool transferring() const { return transfer_target_.has_value(); }
-  /// When tick() is due.
+  /// When tick() has to be called next.
   [[nodiscard]] core::Instant next_timer() const;
-  /// The membership in force (the last in the log, committed or not).
+  /// The current membership: the last one in the log, committed or not.
   [[nodiscard]] const Membership& membership() const { return log_.membership(); }
   [[nodiscard]] bool membership_change_pending() const;
   [[nodiscard]] Index commit_index() const { return hard_state_.commit; }
   [[nodiscard]] Index applied_index() const { return applied_; }
   [[nodiscard]] const Log& log() const { return log_; }
   [[nodiscard]] const Config& config() const { return config_; }
-  /// How often this replica has stood for election since it started; asking for pre-votes counts.
+  /// Number of candidacies since this replica started, including those that ended at the pre-vote.
   [[nodiscard]] std::uint64_t candidacies() const { return candidacies_; }
-  /// The last candidacy that ended without a majority; of term 0 when there was none since the start.
+  /// The last candidacy that ended without a majority; term 0 if there was none since the start.
   [[nodiscard]] const LostCandidacy& lost_candidacy() const { return lost_candidacy_; }
-  /// Leader: voters, itself included, that answered within the shortest election timeout.
+  /// Leader only: number of voters, itself included, that answered within the shortest election timeout.
   [[nodiscard]] std::size_t voters_in_contact() const;
-  /// When a member last answered this leader; empty when it never did, or when this is no leader.
+  /// When a member last answered this leader; empty if it never did, or if this replica is not the leader.
   [[nodiscard]] std::optional<core::Instant> last_contact(const core::ControlId& id) const;
 
  private:
   // Common (node.cpp).
-  /// Settles the message's term against ours; false when the message is thereby done with.
+  /// Compares the message's term with this replica's and adopts a newer one. False if the message must not be
+  /// handled any further.
   bool accept_term(const Message& message);
   void refuse_old_term(const Message& message);
   core::LogPosition append_entry(Entry entry);
@@ -166,8 +170,8 @@
   void count_votes();
   void reset_election_timer();
   void note_lost_candidacy();
-  /// The time to gather votes has passed. Votes that wait in a candidate's queue while it is frozen say
-  /// nothing about now: others may have elected a leader of a newer term meanwhile.
+  /// True once the time for collecting votes has passed. Votes that were queued while the process was
+  /// suspended are stale: the others may have elected a leader of a newer term.
   [[nodiscard]] bool election_is_over() const;
   [[nodiscard]] bool heard_from_leader_recently() const;
   void handle(const Message& message, const PreVoteRequest& request);
@@ -195,22 +199,22 @@
   void advance_commit();
   void confirm_reads();
   [[nodiscard]] Round quorum_round() const;
-  /// When a majority, this leader included, was last heard: sending time of what they answered.
+  /// The latest time such that a majority, this leader included, has answered messages sent then or later.
   [[nodiscard]] std::optional<core::Instant> quorum_contact(core::Instant now) const;
 
   // Joining (node_joining.cpp).
   void handle(const Message& message, const JoinRequest& request);
   void handle(const Message& message, const JoinReply& reply);
-  /// Adds a learner; empty when it is one of the members now.
+  /// Adds the replica as a learner. Empty if it is a member now, else the reason of the refusal.
   std::optional<JoinRefusal> admit(const Member& joiner);
   void admit_stranger(const Member& joiner);
-  /// A silent voter in whose place no newcomer stands yet; empty: none.
+  /// A silent voter that no other member replaces yet; empty: none.
   [[nodiscard]] core::ControlId unreplaced_silent_voter() const;
 
   // Membership and transfer (node_membership.cpp).
-  /// How long no leader has heard a member, earlier ones included.
+  /// Time since a member last answered a leader, earlier leaders included.
   [[nodiscard]] core::Duration silence_of(const core::ControlId& id) const;
-  /// Voters that this leader does not hear.
+  /// Voters that have not answered this leader within the shortest election timeout.
   [[nodiscard]] std::vector<SilentMember> silent_voters() const;
   [[nodiscard]] AppendRequest append_after(const core::LogPosition& previous) const;
   [[nodiscard]] core::Result<void> may_change_membership() const;
@@ -229,7 +233,7 @@
   Log log_;
   HardState hard_state_;
   std::mt19937_64 random_;
-  core::Instant now_;  ///< The latest moment that a caller has told.
+  core::Instant now_;  ///< Latest time passed in by a caller; never goes back.
   Role role_ = Role::kFollower;
   std::optional<core::ControlId> leader_;
   core::Instant election_deadline_{};
@@ -237,13 +241,13 @@
   EarlierSilence earlier_silence_;
 
   // Joining.
-  std::vector<core::Endpoint> named_replicas_;  ///< By answers; the latest last.
+  std::vector<core::Endpoint> named_replicas_;  ///< From JoinReplies; the newest last.
   std::optional<JoinAnswer> join_answer_;
 
   // Candidates.
   std::map<core::ControlId, bool> votes_;
   std::uint64_t candidacies_ = 0;
-  Term candidacy_term_ = 0;  ///< Of the votes asked for last.
+  Term candidacy_term_ = 0;  ///< Term of the votes requested last.
   LostCandidacy lost_candidacy_;
 
   // Leader.
@@ -252,7 +256,7 @@
     core::Instant at{};
   };
   std::map<core::ControlId, Progress> progress_;
-  std::deque<RoundSent> rounds_;  ///< Recent rounds and when they were begun.
+  std::deque<RoundSent> rounds_;  ///< Recent rounds and when they began.
   Round round_ = 0;
   core::Instant next_heartbeat_{};
   core::Instant leader_since_{};
@@ -260,12 +264,14 @@
   std::optional<core::ControlId> transfer_target_;
   core::Instant transfer_deadline_{};
   bool timeout_now_sent_ = false;
-  bool append_wanted_ = false;         ///< There are new entries to send.
-  bool commit_notice_wanted_ = false;  ///< Followers should learn of a new commit index at once.
+  bool append_wanted_ = false;  ///< There are new entries to send.
+  /// The new commit index is to be sent without waiting for the next heartbeat.
+  bool commit_notice_wanted_ = false;
 
   // Work for the driver.
+  /// The Ready that was taken and is not advanced yet.
   struct InFlight {
-    core::LogPosition persisted;  ///< Last entry that the durable log then holds.
+    core::LogPosition persisted;  ///< Last entry of the durable log once this Ready is persisted.
     Index applied = 0;
   };
   std::vector<Message> messages_;
--- a/src/raft/node_election.cpp
+++ b/src/raft/node_election.cpp
@@ -1,4 +1,4 @@
-// Roles and elections of raft::Node.
+// raft::Node: role changes, pre-votes and elections.
 #include <algorithm>
 #include <utility>
 
@@ -125,7 +125,7 @@
   const bool would_be_newer = message.term > hard_state_.term;
   const bool log_is_recent = request.last >= log_.last();
   const bool granted = would_be_newer && log_is_recent && !heard_from_leader_recently();
-  // A refusal names our own term, so that a candidate behind it catches up.
+  // A refusal carries this replica's own term, so that a candidate of an older term adopts it.
   send_with_term(message.from, granted ? message.term : hard_state_.term, PreVoteReply{granted});
 }
 
@@ -139,8 +139,7 @@
 void Node::handle(const Message& message, const VoteRequest& request) {
   const bool free_to_vote = hard_state_.voted_for.empty() || hard_state_.voted_for == message.from;
   const bool log_is_recent = request.last >= log_.last();
-  // Also checked here and not only for newer terms: this replica may have reached the term by another
-  // message.
+  // accept_term checks this for newer terms only; this replica may have entered the term by another message.
   const bool allowed = request.transfer || !heard_from_leader_recently();
   const bool granted = allowed && free_to_vote && log_is_recent;
   if (granted) {
--- a/src/raft/node_follower.cpp
+++ b/src/raft/node_follower.cpp
@@ -1,4 +1,4 @@
-// The follower's side of replication of raft::Node.
+// raft::Node: replication on followers.
 #include <algorithm>
 
 #include "raft/node.hpp"
@@ -12,12 +12,12 @@
 }
 
 void Node::handle(const Message& message, const AppendRequest& request) {
-  if (role_ == Role::kLeader) return;  // Two leaders in one term can't be; never give up our own log.
+  if (role_ == Role::kLeader) return;  // A term has only one leader; never overwrite this leader's log.
   follow(message);
   earlier_silence_.note(now_, request.silent);
   const auto previous = request.previous.index;
   if (previous < hard_state_.commit) {
-    // What is committed here is in every later leader's log, so it agrees up to there.
+    // Committed entries are in the log of every later leader, so both logs agree up to the commit index.
     send(message.from, AppendReply{true, previous, hard_state_.commit, 0, request.round});
     return;
   }
--- a/src/raft/node_joining.cpp
+++ b/src/raft/node_joining.cpp
@@ -1,4 +1,4 @@
-// How a replica that is in no membership becomes a learner, at both ends, of raft::Node.
+// raft::Node: how a replica that is not a member becomes a learner, on the joining replica and on the leader.
 #include <algorithm>
 #include <utility>
 
@@ -7,9 +7,9 @@
 namespace pipitpond::raft {
 namespace {
 
-/// Named replicas that are remembered; more than a membership has.
+/// Endpoints kept from JoinReplies; more than a membership has members.
 constexpr std::size_t kMostNamedReplicas = 64;
-/// In units of the longest election timeout: a member that hears no leader for so long may have been removed.
+/// In longest election timeouts: a member without contact with a leader for this time may have been removed.
 constexpr int kForgottenAfter = 4;
 
 void add_once(std::vector<core::Endpoint>& endpoints, const core::Endpoint& endpoint) {
@@ -23,7 +23,8 @@
 bool Node::wants_to_join() const {
   const auto* self = membership().find(config_.id);
   if (self == nullptr) return true;
-  // It may have been removed while it was out of touch: then nobody sends it anything, not even that news.
+  // It may have been removed while it was unreachable; then no replica sends it anything, not even that
+  // change.
   const bool forgotten = config_.open_membership && role_ != Role::kLeader &&
                          now_ - last_leader_contact_ >= kForgottenAfter * config_.election_timeout_max;
   if (forgotten) return true;
@@ -57,7 +58,7 @@
   const auto refusal = admit(request.member);
   if (!refusal) return;
   JoinReply reply{*refusal, leader_.value_or(core::ControlId()), {}};
-  // A member knows the others itself.
+  // A member already has the membership in its own log.
   if (membership().find(message.from) == nullptr) reply.members = membership().members;
   send(message.from, std::move(reply));
 }
@@ -71,16 +72,16 @@
     return member.internal == joiner.internal;
   });
   if (same_place == members.rend()) {
-    // Otherwise strangers are let in by operators only.
+    // Without open membership only operators add replicas at new endpoints.
     if (!config_.open_membership) return JoinRefusal::kNotAllowed;
     admit_stranger(joiner);
     return std::nullopt;
   }
-  // At the place of a known member the newcomer stands in its stead, provided that the known one is silent:
-  // as long as makes a follower doubt its leader, for a member that lives answers several heartbeats in that
-  // time. A longer wait can outlast a short reign, and a second disk that is lost meanwhile leaves no
-  // majority. Letting it in early is safe: it is a learner, which counts in no majority, until it holds all
-  // that is committed.
+  // A replica at the endpoint of an existing member replaces that member, provided that the member has been
+  // silent for the shortest election timeout, after which a follower doubts its leader too; a live member
+  // answers several heartbeats in that time. A longer wait can outlast the term of a short-lived leader, and
+  // if a second disk is lost meanwhile, no majority is left. An early admission is safe: the replica is a
+  // learner, which counts in no majority, until it holds all committed entries.
   if (same_place->id == config_.id) return JoinRefusal::kPlaceIsTaken;
   if (silence_of(same_place->id) < config_.election_timeout_min) return JoinRefusal::kPlaceIsTaken;
   const auto& known = *same_place;
--- a/src/raft/node_leader.cpp
+++ b/src/raft/node_leader.cpp
@@ -1,4 +1,4 @@
-// The leader's side of replication of raft::Node.
+// raft::Node: replication, heartbeats and read confirmation on the leader.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -8,18 +8,18 @@
 namespace pipitpond::raft {
 namespace {
 
-/// Heartbeat rounds whose sending times are remembered. An answer to an older one proves nothing recent.
+/// Heartbeat rounds whose start times are kept. A reply to an older round is no evidence of recent contact.
 constexpr std::size_t kRememberedRounds = 256;
-/// Appends that may be on their way to one follower at once, in units of a full append.
+/// Unacknowledged entries per follower, in multiples of max_entries_per_append.
 constexpr std::size_t kWindowAppends = 4;
-/// The pause between snapshots doubles this often while the member says nothing.
+/// How many times the interval between snapshots doubles while the member does not answer.
 constexpr int kSnapshotPauseDoublings = 3;
-/// Part of the election timeout for which an answer proves that this leader is the only one. The rest is
-/// room for clocks whose rates differ by up to 5% each.
+/// Fraction of the shortest election timeout for which a reply proves that there is no other leader. The rest
+/// allows for clock rates that are off by up to 5% each.
 constexpr int kLeaseNumerator = 9;
 constexpr int kLeaseDenominator = 10;
 
-/// The value that a majority reaches: the quorum-th greatest.
+/// The greatest value that a quorum reaches: the quorum-th greatest of `values`.
 template <typename Value>
 Value quorum_value(std::vector<Value> values, std::size_t quorum) {
   std::sort(values.begin(), values.end(), std::greater<>());
@@ -38,7 +38,7 @@
   }
   continue_transfer();
   if (role_ != Role::kLeader || now_ < next_heartbeat_) return;
-  // Only here: rounds that reads begin must not postpone this leader's own timer.
+  // Set only here: rounds started by reads must not delay the heartbeat timer.
   next_heartbeat_ = now_ + config_.heartbeat_interval;
   promote_or_remove();
   begin_round();
@@ -61,7 +61,7 @@
     if (now_ - progress.snapshot_sent >= config_.snapshot_retry * (1 << doublings)) {
       send_snapshot(to, progress);
     } else if (heartbeat) {
-      // Keeps the follower from standing for election while the snapshot is on its way.
+      // Keeps the follower from starting an election while the snapshot is in transit.
       const auto& snapshot = log_.snapshot();
       send(to, append_after({snapshot.term, snapshot.index}));
     }
@@ -74,8 +74,8 @@
   send_entries(to, progress, heartbeat);
 }
 
-// What a member has not answered is not sent again, so that at most one append, or kReplicate's window, is
-// queued for a member behind a cut, and not another one with every heartbeat.
+// Unanswered entries are not sent again. So at most one append (kProbe) or one window (kReplicate) is queued
+// for an unreachable member, not another copy with every heartbeat.
 void Node::send_entries(const core::ControlId& to, Progress& progress, bool heartbeat) {
   const bool probing = progress.state == ReplicationState::kProbe;
   do {
@@ -143,7 +143,7 @@
 
 void Node::note_mismatch(const core::ControlId& to, Progress& progress, const AppendReply& reply) {
   if (progress.state == ReplicationState::kSnapshot) return;
-  // Late answers: that part is known to match by now, or another place is being probed.
+  // Late reply: that prefix is known to match by now, or another index is being probed.
   if (reply.previous <= progress.match) return;
   if (progress.state == ReplicationState::kProbe && reply.previous != progress.next - 1) return;
   progress.probe_from(std::max(progress.match + 1, std::min(reply.previous, reply.hint + 1)));
@@ -158,7 +158,7 @@
       std::find_if(rounds_.begin(), rounds_.end(), [round](const auto& r) { return r.round == round; });
   if (sent == rounds_.end()) return;
   progress.acknowledged_round = round;
-  // The time of sending, not of arrival: only that moment is surely before the follower's own timer began.
+  // The sending time, not the arrival time: only it is certainly before the follower reset its timer.
   progress.acknowledged_sent = sent->at;
 }
 
@@ -171,8 +171,8 @@
   if (matches.empty()) return;
   const auto index = quorum_value(std::move(matches), membership().quorum());
   if (index <= hard_state_.commit) return;
-  // An entry of an earlier term is not safe on a majority alone: a leader with a later last term could still
-  // overwrite it. It becomes committed together with one of this term.
+  // An entry of an earlier term is not committed by being on a majority: a leader whose last entry has a
+  // later term could still overwrite it. It is committed together with an entry of the current term.
   if (config_.mechanisms.own_term_commit && log_.term_at(index) != hard_state_.term) return;
   commit_to(index);
   commit_notice_wanted_ = true;
--- a/src/raft/node_membership.cpp
+++ b/src/raft/node_membership.cpp
@@ -1,4 +1,4 @@
-// Changes of membership and transfer of leadership of raft::Node.
+// raft::Node: membership changes and leadership transfer.
 #include <algorithm>
 #include <utility>
 
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// In units of the longest election timeout: how long a new leader takes members for alive that have not
-/// answered it yet.
+/// In longest election timeouts: how long a new leader counts silence from its election only, because live
+/// members have not answered it yet.
 constexpr int kTimeToAnswer = 2;
-/// In the same units: how long a voter must be silent to be removed in favour of a newcomer. One that is only
-/// cut off for a moment stays; one that returns later joins anew.
+/// In longest election timeouts: how long a voter must be silent before its replacement displaces it. A voter
+/// that is unreachable for a shorter time stays; one that returns later joins again.
 constexpr int kSilenceOfTheReplaced = 4;
 
 }  // namespace
@@ -25,15 +25,15 @@
 
 core::Result<void> Node::may_change_membership() const {
   if (role_ != Role::kLeader || transfer_target_) {
-    return core::fail(ErrorKind::kNotLeader, "This control replica does not lead.",
-                      "Ask the leader that it names, or any other replica.");
+    return core::fail(ErrorKind::kNotLeader, "This control replica is not the leader.",
+                      "Retry at the leader that it names, or at any other replica.");
   }
   if (!config_.mechanisms.one_membership_change) return core::outcome::success();
-  // Two changes at once, or one on top of an earlier leader's that is neither committed nor gone, could give
-  // two majorities without a common member.
+  // Two concurrent changes, or a change on top of an earlier leader's change that is neither committed nor
+  // discarded, could allow two majorities without a common member.
   if (membership_change_pending() || !leads_with_committed_term()) {
-    return core::fail(ErrorKind::kConflict, "Another change of the control replicas is not committed yet.",
-                      "Retry in a second.", 1000);
+    return core::fail(ErrorKind::kConflict, "Another change of the control membership is not committed yet.",
+                      "Retry in 1 s.", 1000);
   }
   return core::outcome::success();
 }
@@ -46,11 +46,11 @@
   const auto& id = change.member.id;
   if (change.action == MembershipAction::kAddLearner) {
     if (id.empty()) {
-      return core::fail(ErrorKind::kInvalidArgument, "The control replica has no id.", "Name one.");
+      return core::fail(ErrorKind::kInvalidArgument, "The control replica has no id.", "Set its id.");
     }
     if (changed.find(id) != nullptr) {
-      return core::fail(ErrorKind::kAlreadyExists, "A control replica of this id is a member already.",
-                        "Choose another id; a replica that lost its disk joins under a new one.");
+      return core::fail(ErrorKind::kAlreadyExists, "A control replica with this id is already a member.",
+                        "Choose another id; a replica that lost its disk joins with a new id.");
     }
     changed.members.push_back(change.member);
     changed.members.back().role = MemberRole::kLearner;
@@ -60,11 +60,12 @@
     return position;
   }
   if (changed.find(id) == nullptr) {
-    return core::fail(ErrorKind::kNotFound, "No control replica has this id.", "List the members.");
+    return core::fail(ErrorKind::kNotFound, "No control replica has this id.",
+                      "List the members to find the id.");
   }
   if (id == config_.id) {
     return core::fail(ErrorKind::kInvalidArgument, "The leader can't remove itself.",
-                      "Drain this replica first, so that another one leads.");
+                      "Drain this replica first, so that another replica becomes the leader.");
   }
   const Member removed = *changed.find(id);
   std::erase_if(changed.members, [&](const Member& member) { return member.id == id; });
@@ -91,7 +92,7 @@
   const bool came_in_this_reign =
       progress != progress_.end() && progress->second.followed_since > leader_since_;
   if (came_in_this_reign) return now_ - progress->second.followed_since;
-  // Members that live need a moment to answer a new leader.
+  // Live members need some time to answer a new leader.
   const auto reign = now_ - leader_since_;
   if (reign < kTimeToAnswer * config_.election_timeout_max) return reign;
   return std::max(reign, now_ - earlier_silence_.last_heard(id));
@@ -126,7 +127,7 @@
       ++member;
       continue;
     }
-    // A last message, so that a removed replica that still listens learns of it.
+    // A final append tells a removed replica, if it is reachable, that it was removed.
     send_append(member->first, member->second, true);
     member = progress_.erase(member);
   }
@@ -144,7 +145,7 @@
     const auto& progress = progress_[member.id];
     const bool in_contact =
         progress.last_contact && now_ - *progress.last_contact < config_.election_timeout_min;
-    // `match` counts synced entries only: as a voter it will hold all that it has acknowledged.
+    // `match` counts synced entries only, so the new voter durably holds all entries that it acknowledged.
     const bool caught_up = progress.match > 0 && progress.match >= hard_state_.commit;
     if (!in_contact || !caught_up) continue;
     auto changed = membership();
@@ -185,7 +186,7 @@
 }
 
 bool Node::can_spare_one() const {
-  // The others must stand by themselves, also without one more of them.
+  // The remaining voters must keep a majority in contact even if one more of them fails.
   const std::size_t left = membership().voter_count() - 1;
   return left >= config_.least_voters && voters_in_contact() > left / 2 + 1;
 }
@@ -205,7 +206,8 @@
 core::Result<void> Node::transfer_leadership(core::Instant now) {
   now_ = std::max(now_, now);
   if (role_ != Role::kLeader) {
-    return core::fail(ErrorKind::kNotLeader, "This control replica does not lead.", "Nothing is to be done.");
+    return core::fail(ErrorKind::kNotLeader, "This control replica is not the leader.",
+                      "No action is needed.");
   }
   if (transfer_target_) return core::outcome::success();
   const std::pair<const core::ControlId, Progress>* best = nullptr;
@@ -216,8 +218,8 @@
     if (best == nullptr || candidate.second.match > best->second.match) best = &candidate;
   }
   if (best == nullptr) {
-    return core::fail(ErrorKind::kUnavailable, "No other voting control replica is in contact.",
-                      "Start another control replica first, or stop this one without a transfer.");
+    return core::fail(ErrorKind::kUnavailable, "No other voting control replica is reachable.",
+                      "Start another control replica first, or stop this one without a leadership transfer.");
   }
   transfer_target_ = best->first;
   transfer_deadline_ = now_ + config_.election_timeout_max;
@@ -229,8 +231,8 @@
 void Node::continue_transfer() {
   if (role_ != Role::kLeader || !transfer_target_) return;
   if (now_ >= transfer_deadline_) {
-    // The target may still get our message and be elected without the usual wait, so that has_quorum could no
-    // longer promise that we are alone. Stepping down keeps it true: a message of this term is then void.
+    // The target may still receive TimeoutNow and be elected without waiting for the election timeout, so
+    // that has_quorum could no longer guarantee a single leader. Stepping down keeps the guarantee.
     become_follower(hard_state_.term, std::nullopt);
     return;
   }
--- a/src/raft/progress.hpp
+++ b/src/raft/progress.hpp
@@ -1,4 +1,4 @@
-// What a leader knows about one other member.
+// Replication progress of one other member, as tracked by the leader.
 #pragma once
 
 #include <cstddef>
@@ -12,48 +12,48 @@
 namespace pipitpond::raft {
 
 enum class ReplicationState : std::uint8_t {
-  kProbe,      ///< Where the logs agree is not known: one append at a time.
-  kReplicate,  ///< Appends are sent ahead of their answers.
-  kSnapshot,   ///< A snapshot is on its way.
+  kProbe,      ///< The matching index is unknown: one append at a time.
+  kReplicate,  ///< Appends are pipelined, without waiting for replies.
+  kSnapshot,   ///< A snapshot was sent and is not confirmed yet.
 };
 
-/// An append with entries that has not been answered.
+/// An append with entries whose reply has not arrived.
 struct UnansweredAppend {
-  Index last = 0;         ///< Its last entry.
-  std::size_t bytes = 0;  ///< Of its entries.
+  Index last = 0;         ///< Index of its last entry.
+  std::size_t bytes = 0;  ///< Size of its entries.
 };
 
 struct Progress {
   ReplicationState state = ReplicationState::kProbe;
-  Index match = 0;          ///< Last entry known to be synced there and equal to the leader's.
-  Index next = 1;           ///< Next entry to send.
-  bool probe_sent = false;  ///< kProbe: until the answer, heartbeats go without entries.
-  std::deque<UnansweredAppend> unanswered;  ///< kReplicate: in order.
-  std::size_t unanswered_bytes = 0;         ///< Sum of `unanswered`.
-  Index snapshot_index = 0;                 ///< kSnapshot: which.
+  Index match = 0;          ///< Last index known to be synced on the member and to match the leader's log.
+  Index next = 1;           ///< Index of the next entry to send.
+  bool probe_sent = false;  ///< kProbe: heartbeats carry no entries until the reply arrives.
+  std::deque<UnansweredAppend> unanswered;  ///< kReplicate: in the order of sending.
+  std::size_t unanswered_bytes = 0;         ///< Sum of the sizes in `unanswered`.
+  Index snapshot_index = 0;                 ///< kSnapshot: index of the snapshot that was sent.
   core::Instant snapshot_sent{};
-  int snapshots_unanswered = 0;  ///< Sent in a row without a word from the member.
-  Round acknowledged_round = 0;  ///< Greatest heartbeat round answered.
-  /// When the greatest answered round was sent; empty: none in this reign.
+  int snapshots_unanswered = 0;  ///< Snapshots sent since the member's last reply.
+  Round acknowledged_round = 0;  ///< Greatest heartbeat round that the member has answered.
+  /// When `acknowledged_round` was sent; empty: no round answered since this leader was elected.
   std::optional<core::Instant> acknowledged_sent;
-  std::optional<core::Instant> last_contact;  ///< When the last answer arrived.
-  core::Instant followed_since{};             ///< When it became a member, or its leader a leader.
-  /// Learner: its log has been seen to be as long as the leader's was at that moment.
+  std::optional<core::Instant> last_contact;  ///< When the last reply arrived.
+  core::Instant followed_since{};  ///< When tracking began: at the election or when the member was added.
+  /// Learner: its log has reached the length that the leader's log had at that time.
   bool caught_up = false;
 
-  /// Entries were sent ahead of their answer.
+  /// Records an append that was sent without waiting for earlier replies. `bytes`: size of its entries.
   void note_sent(Index last, std::size_t bytes) {
     unanswered.push_back({last, bytes});
     unanswered_bytes += bytes;
   }
-  /// Everything up to `index` has arrived.
+  /// Records that the member holds all entries up to `index`.
   void note_arrived(Index index) {
     while (!unanswered.empty() && unanswered.front().last <= index) {
       unanswered_bytes -= unanswered.front().bytes;
       unanswered.pop_front();
     }
   }
-  /// What was sent may be lost: the place where the logs agree is sought anew.
+  /// Returns to probing at `first`, because appends sent earlier may be lost.
   void probe_from(Index first) {
     state = ReplicationState::kProbe;
     next = first;
--- a/src/raft/read_queue.hpp
+++ b/src/raft/read_queue.hpp
@@ -1,4 +1,4 @@
-// Linearizable reads that wait for the leader to prove that it still leads.
+// Linearizable reads that wait for a heartbeat round to confirm the leadership (ReadIndex).
 #pragma once
 
 #include <deque>
@@ -13,15 +13,15 @@
 
 class ReadQueue {
  public:
-  /// Adds a read; it needs a heartbeat round that is begun later.
+  /// Adds a read. Only a heartbeat round that begins after this call can confirm it.
   void add(ReadToken token) { reads_.push_back({token}); }
-  /// True when some read waits for a round to be begun.
+  /// True if some read is not assigned to a round yet.
   [[nodiscard]] bool needs_round() const;
-  /// A round begins while entries up to `commit` are known to be committed: reads without a round get it.
+  /// Assigns all unassigned reads to `round`, with the current commit index as their read index.
   void begin_round(Round round, Index commit);
-  /// A majority has answered `round`: takes the reads that are confirmed by it.
+  /// Removes and returns the reads that are confirmed once a majority has answered `round`.
   std::vector<ReadResult> confirm(Round round);
-  /// Leadership is lost: takes all reads as failed.
+  /// Removes all reads and returns them as not confirmed. Called when leadership is lost.
   std::vector<ReadResult> fail_all();
 
  private:
--- a/src/raft/ready.hpp
+++ b/src/raft/ready.hpp
@@ -1,4 +1,4 @@
-// What one replica asks its driver to do.
+// Output of raft::Node: the work that the driver has to do.
 #pragma once
 
 #include <cstddef>
@@ -12,59 +12,58 @@
 
 namespace pipitpond::raft {
 
-/// Chosen by the driver to recognise a read.
+/// Identifies a read; chosen by the driver.
 using ReadToken = std::uint64_t;
 
-/// What became of a read_index call.
+/// Outcome of a read_index call.
 struct ReadResult {
   ReadToken token = 0;
-  /// True: the replica led after the read was asked for. Serve the read once `index` is applied.
-  /// False: leadership was lost; ask the new leader.
+  /// True: this replica was the leader after the read was requested. Serve the read once `index` is applied.
+  /// False: leadership was lost; retry at the new leader.
   bool confirmed = false;
   Index index = 0;
 };
 
-/// Why a leader changes the members.
+/// Why a leader changed the membership.
 enum class MembershipReason : std::uint8_t {
-  kOperator,  ///< Somebody asked for it.
-  kJoins,     ///< A newcomer is let in as a learner.
-  kCaughtUp,  ///< A learner becomes a voter.
-  kReplaced,  ///< A newcomer that votes stands in this member's place.
-  kSilent,    ///< It was not heard for long, and the others can spare it.
+  kOperator,  ///< An operator requested it.
+  kJoins,     ///< A new replica is added as a learner.
+  kCaughtUp,  ///< A learner is promoted to voter.
+  kReplaced,  ///< The member is removed: its replacement is a voter.
+  kSilent,    ///< The member is removed: silent for too long, and the quorum does not need it.
 };
 
-/// A change of the members that a leader has put into its log.
+/// A membership change that the leader has appended to its log.
 struct MembershipDecision {
   MembershipReason reason = MembershipReason::kOperator;
-  Member member;                 ///< As it is from now on, or as it was when it is removed.
-  core::Duration silent_for{0};  ///< Of the member in whose place it stands, else of the member itself.
-  std::size_t voters = 0;        ///< From now on.
+  Member member;                 ///< State after the change; for a removal, before it.
+  core::Duration silent_for{0};  ///< Of the member it replaces, if any, else of the member.
+  std::size_t voters = 0;        ///< Number of voters after the change.
   std::size_t voters_in_contact = 0;
 };
 
-/// Work for the driver, to be done in the order of the members.
+/// Work for the driver, to be done in the order of the fields.
 struct Ready {
   /// 1. Persist these, with one sync for all of them, before anything below happens.
   std::optional<HardState> hard_state;
-  /// Replaces the durable snapshot. Entries at or below its index may be dropped after it is synced.
+  /// Replaces the durable snapshot. Once it is synced, entries up to its index may be dropped.
   std::optional<Snapshot> snapshot;
-  /// The log is not a continuation of the durable one: drop all durable entries (with the snapshot that
-  /// takes their place).
+  /// The new log does not continue the durable one: drop all durable entries; `snapshot` replaces them.
   bool reset_log = false;
-  /// Append; durable entries from the first one's index on are replaced.
+  /// Append these. Durable entries at or above the first one's index are replaced.
   std::vector<Entry> entries;
-  /// 2. Send. A message may promise what was persisted in step 1.
+  /// 2. Send. A message may acknowledge what step 1 persisted.
   std::vector<Message> messages;
-  /// 3. Load `snapshot` into the state machine, in place of all that it holds.
+  /// 3. If set, replace the whole state of the state machine by `snapshot`.
   bool restore = false;
-  /// 4. Apply, in order.
+  /// 4. Apply in order.
   std::vector<Entry> committed;
-  /// 5. Answer reads.
+  /// 5. Complete these reads.
   std::vector<ReadResult> reads;
-  /// What was decided since the last Ready, for the log; it may still be lost with this leader.
+  /// Membership changes since the last Ready, for log lines only. They are not committed yet and may be lost.
   std::vector<MembershipDecision> decisions;
 
-  /// Whether step 1 must sync; a mere new commit hint needs none.
+  /// Whether step 1 must sync. A new commit index alone needs no sync.
   bool must_sync = false;
 
   [[nodiscard]] bool empty() const {
--- a/src/raft/silence.hpp
+++ b/src/raft/silence.hpp
@@ -1,9 +1,9 @@
-// How long members of control have been silent, over changes of leader.
+// Tracks across leader changes how long members have been silent, that is, have not answered the leader.
 //
-// Only a leader hears the others. A count that each new leader begins anew never ends while leaders change
-// more often than it lasts, so that machines that are gone for good stay voters and add up to a majority.
-// Therefore a leader tells its followers whom it does not hear and for how long, and whoever leads next
-// counts on from there.
+// Only a leader receives replies from the other members. If each new leader started to measure from zero,
+// frequent leader changes would keep any member from reaching the removal time, and permanently lost machines
+// could add up to a majority of the voters. Therefore each leader reports the silent members and the lengths
+// of their silence to its followers, and the next leader continues from the last report.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,7 @@
 
 namespace pipitpond::raft {
 
-/// A member that the sender of an append does not hear.
+/// A member that does not answer the leader.
 struct SilentMember {
   core::ControlId id;
   std::uint32_t silent_ms = 0;
@@ -25,15 +25,15 @@
   MSGPACK_DEFINE(id, silent_ms);
 };
 
-/// What a replica knows from the reigns of others and from its own earlier ones. The time that a message
-/// takes makes a silence look shorter; a member that fell silent after the last word of a leader passes for
-/// silent since that word.
+/// The last report about silent members that a replica has received, or made when it stepped down as leader.
+/// Message delay makes a silence look shorter. A member that fell silent after the last report counts as
+/// silent since that report.
 class EarlierSilence {
  public:
-  /// Nothing is known of the time before `start`.
+  /// Until the first report, all members count as heard at `start`.
   explicit EarlierSilence(core::Instant start) : told_at_(start) {}
 
-  /// At `now` a leader heard all but these.
+  /// Records the report of a leader that at `now` receives replies from all members but `silent`.
   void note(core::Instant now, const std::vector<SilentMember>& silent) {
     told_at_ = now;
     silent_since_.clear();
@@ -42,7 +42,7 @@
     }
   }
 
-  /// When a leader heard this member for the last time, as far as known.
+  /// When a leader last received a reply from this member, as far as known.
   [[nodiscard]] core::Instant last_heard(const core::ControlId& id) const {
     const auto silent = silent_since_.find(id);
     return silent == silent_since_.end() ? told_at_ : silent->second;
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -1,4 +1,4 @@
-// What Raft keeps: log entries, membership, snapshots and the durable state of one replica.
+// Data types of the Raft log: entries, membership, snapshots and the durable state of one replica.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,24 @@
 
 namespace pipitpond::raft {
 
-/// Number of a leader's reign over the control replicas. Not the term of a database group.
+/// Raft term of the control replicas. Unrelated to the term of a database group.
 using Term = core::Term;
-/// Number of a log entry; the first is 1.
+/// Position of an entry in the log; the first entry has index 1.
 using Index = std::uint64_t;
 
-/// Whether a member counts towards quorums.
+/// Whether a member counts towards quorums: voters do, learners only receive the log.
 enum class MemberRole : std::uint8_t { kLearner, kVoter };
 
-/// One control replica of the membership.
+/// One control replica of the cluster.
 struct Member {
   core::ControlId id;
-  core::Endpoint internal;   ///< Where the other replicas and the daemons reach it.
-  core::Endpoint operators;  ///< Where operators reach it.
+  core::Endpoint internal;   ///< Endpoint for other replicas and daemons.
+  core::Endpoint operators;  ///< Endpoint for operators.
   MemberRole role = MemberRole::kVoter;
-  /// The member in whose place this one was let in, which is removed once this one votes. Empty: none.
+  /// The member that this one replaces and that is removed once this one is a voter. Empty: none.
   core::ControlId replaces;
-  /// Nobody asked for that removal, and that member's disk may be whole: it stays while it is heard.
+  /// The leader chose `replaces` by itself, and that member's disk may be intact: it is removed only after it
+  /// has stopped answering.
   bool replaces_only_silent = false;
 
   auto operator<=>(const Member&) const = default;
@@ -36,15 +37,15 @@
   MSGPACK_DEFINE(id, internal, operators, role, replaces, replaces_only_silent);
 };
 
-/// All control replicas.
+/// The members of the cluster: all control replicas, voters and learners.
 struct Membership {
   std::vector<Member> members;
 
-  /// The member of this identity, or null.
+  /// The member with this id; null if there is none.
   [[nodiscard]] const Member* find(const core::ControlId& id) const;
   [[nodiscard]] bool is_voter(const core::ControlId& id) const;
   [[nodiscard]] std::size_t voter_count() const;
-  /// Voters that make a majority; 1 for an empty membership, so that nothing is ever decided by none.
+  /// Number of voters that form a majority. 1 for an empty membership, so that zero votes never suffice.
   [[nodiscard]] std::size_t quorum() const;
 
   auto operator<=>(const Membership&) const = default;
@@ -52,11 +53,11 @@
   MSGPACK_DEFINE(members);
 };
 
-/// What a log entry holds.
+/// Type of a log entry.
 enum class EntryKind : std::uint8_t {
-  kTermOpening,  ///< Empty; the first entry of a leader, whose commitment commits those before it.
-  kCommand,      ///< A command of the replicated state machine.
-  kMembership,   ///< The new Membership, in force from the moment it is in the log.
+  kTermOpening,  ///< No-op that a new leader appends; committing it also commits all earlier entries.
+  kCommand,      ///< Command for the replicated state machine.
+  kMembership,   ///< New Membership; takes effect when it is appended, before it is committed.
 };
 
 /// One entry of the replicated log.
@@ -72,7 +73,7 @@
   MSGPACK_DEFINE(index, term, kind, command, membership);
 };
 
-/// The state machine's state once it has applied all entries up to `index`.
+/// State of the state machine after all entries up to and including `index` are applied.
 struct Snapshot {
   Index index = 0;
   Term term = 0;
@@ -84,27 +85,27 @@
   MSGPACK_DEFINE(index, term, membership, state);
 };
 
-/// What a replica must never forget.
+/// Raft state that must be durable before a replica answers messages.
 struct HardState {
   Term term = 0;
-  core::ControlId voted_for;  ///< Vote given in `term`; empty: none.
-  Index commit = 0;           ///< A hint; may be older than the truth.
+  core::ControlId voted_for;  ///< Candidate that got this replica's vote in `term`; empty: none.
+  Index commit = 0;           ///< Commit index; the durable copy may lag behind.
 
   auto operator<=>(const HardState&) const = default;
 
   MSGPACK_DEFINE(term, voted_for, commit);
 };
 
-/// Durable state from which a replica starts. A replica that joins an existing cluster starts from an empty
-/// one and gets everything from the leader.
+/// Durable state that a replica starts from. A replica that joins an existing cluster starts with an empty
+/// one and receives everything from the leader.
 struct PersistedState {
   HardState hard_state;
   Snapshot snapshot;
-  std::vector<Entry> entries;  ///< Contiguous; may begin at or before the snapshot's index.
+  std::vector<Entry> entries;  ///< Contiguous; may start at or before the snapshot's index.
 };
 
-/// What every voter of a new cluster starts from: a snapshot at index 1 with the first membership and the
-/// state machine's first state. All of them must be given the same arguments.
+/// Initial state of every voter of a new cluster: a snapshot at index 1 and term 1 with the initial
+/// membership and the initial state of the state machine. All voters must pass the same arguments.
 PersistedState bootstrap(Membership membership, std::string state);
 
 }  // namespace pipitpond::raft
--- a/src/storage/durable_file.hpp
+++ b/src/storage/durable_file.hpp
@@ -1,4 +1,4 @@
-// Whole files that are replaced atomically: after a crash one finds the old or the new bytes, never a mix.
+// Files that are replaced atomically: after a crash a file has its old or its new bytes, never a mix.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 namespace pipitpond::storage {
 
 /// Replaces a file: writes a temporary one, syncs it, renames it, syncs the directory. Durable on return.
-/// Fails with kNoCapacity when the disk is full: the file is as it was, and the call may be repeated.
+/// Fails with kNoCapacity when the disk is full: the file is unchanged, and the call may be repeated.
 core::Result<void> write_durable_file(Disk& disk, const std::string& name, std::string_view payload);
-/// Reads a file written by write_durable_file. Fails with kNotFound, or kCorrupt when its checksum is wrong.
+/// Reads a file written by write_durable_file. Fails with kNotFound, or with kCorrupt on a checksum mismatch.
 core::Result<std::string> read_durable_file(Disk& disk, const std::string& name);
 
 }  // namespace pipitpond::storage
--- a/src/storage/file_disk.cpp
+++ b/src/storage/file_disk.cpp
@@ -45,7 +45,7 @@
 core::Result<void> sync_descriptor(int descriptor, const std::string& path) {
   if (::fsync(descriptor) == 0) return core::outcome::success();
   core::Error error = failure("sync", path).error();
-  // Whatever the reason: what a failed sync has left of the bytes is unknown.
+  // Always kUnavailable, even for ENOSPC: after a failed sync it is unknown which bytes are durable.
   error.kind = ErrorKind::kUnavailable;
   return error;
 }
@@ -56,7 +56,7 @@
   return sync_descriptor(handle.get(), path);
 }
 
-/// Creates the folder and makes each new folder durable in its parent.
+/// Creates the folder and its missing parents, and syncs the parent of each new folder.
 core::Result<void> create_folder(const std::filesystem::path& folder) {
   if (std::filesystem::exists(folder)) return core::outcome::success();
   const auto parent = folder.parent_path();
@@ -89,7 +89,7 @@
   disk->lock_ = FileHandle(::open(lock_path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode));
   if (!disk->lock_.valid()) return failure("open", lock_path);
   if (::flock(disk->lock_.get(), LOCK_EX | LOCK_NB) != 0) {
-    return core::fail(ErrorKind::kAlreadyExists, "Another process uses the data folder " + folder + ".",
+    return core::fail(ErrorKind::kAlreadyExists, "Another process has locked the data folder " + folder + ".",
                       "Stop that process, or give this one a data folder of its own.");
   }
   return disk;
--- a/src/storage/file_disk.hpp
+++ b/src/storage/file_disk.hpp
@@ -1,4 +1,4 @@
-// A Disk on a folder of the real file system.
+// Disk on a folder of the operating system's file system.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace pipitpond::storage {
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it on destruction.
 class FileHandle {
  public:
   FileHandle() = default;
@@ -30,8 +30,8 @@
 
 class FileDisk : public Disk {
  public:
-  /// Opens a folder, which is created if need be, for this process alone. Fails with kAlreadyExists when
-  /// another process holds it, and with kUnavailable when it can't be used.
+  /// Opens a folder, created if it does not exist, and locks it for this process. Fails with kAlreadyExists
+  /// if another process holds the lock, else with the kind of the file system error.
   static core::Result<std::unique_ptr<FileDisk>> open(const std::string& folder);
 
   core::Result<std::vector<std::string>> list() override;
@@ -52,7 +52,7 @@
   std::string folder_;
   FileHandle directory_;
   FileHandle lock_;
-  std::map<std::string, FileHandle> writers_;  ///< Files that were appended to.
+  std::map<std::string, FileHandle> writers_;  ///< Open descriptors of files that were written to, by name.
 };
 
 }  // namespace pipitpond::storage
--- a/src/storage/frame.cpp
+++ b/src/storage/frame.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::string_view kMagic = "pipF";
-constexpr std::size_t kHeaderBytes = 16;  // magic 4, length 4, checksum 8
+constexpr std::size_t kHeaderBytes = 16;  // magic 4 bytes, length 4 bytes, checksum 8 bytes
 constexpr int kBitsPerByte = 8;
 
 template <typename Number>
@@ -30,7 +30,7 @@
   return number;
 }
 
-/// The length is part of what is checked, so that a damaged one is not believed.
+/// Covers the length too, as the seed, so that a damaged length is detected.
 std::uint64_t checksum(std::string_view payload) {
   return XXH3_64bits_withSeed(payload.data(), payload.size(), payload.size());
 }
@@ -82,9 +82,10 @@
 }
 
 core::Error corrupt(const std::string& name, const std::string& what) {
-  return core::Error{core::ErrorKind::kCorrupt, "File " + name + " can't be trusted: it has " + what + ".",
-                     "Move the data folder away and start again: the replica then joins anew as a learner "
-                     "and gets its state from the leader."};
+  return core::Error{
+      core::ErrorKind::kCorrupt, "File " + name + " can't be trusted: it has " + what + ".",
+      "Move the data folder away and restart: the replica then rejoins the cluster as a learner "
+      "and receives its state from the leader."};
 }
 
 }  // namespace pipitpond::storage
--- a/src/storage/identity.hpp
+++ b/src/storage/identity.hpp
@@ -1,5 +1,5 @@
-// Who a control replica is. The identity lives and dies with the disk: a replica that lost its disk has lost
-// its votes too, so it may only come back as somebody else.
+// Identity of a control replica, stored on its disk. A replica that lost its disk no longer knows which votes
+// it has cast, so it must rejoin with a new identity.
 #pragma once
 
 #include <msgpack.hpp>
@@ -19,11 +19,11 @@
   MSGPACK_DEFINE(cluster, id);
 };
 
-/// The identity on the disk; none if the disk was never initialized (or was lost).
+/// The identity stored on the disk; empty if the disk is not initialized.
 core::Result<std::optional<Identity>> read_identity(Disk& disk);
 
-/// An identity for a replica that joins an existing cluster: the configured name and a random suffix, so that
-/// it is never taken for one that voted before.
+/// Identity for a replica that joins an existing cluster: its configured name with a random suffix, so that
+/// it is never mistaken for a replica that has already voted.
 Identity joining_identity(std::string cluster, const std::string& name, std::uint64_t random);
 
 }  // namespace pipitpond::storage
--- a/src/storage/raft_storage.cpp
+++ b/src/storage/raft_storage.cpp
@@ -21,10 +21,10 @@
 constexpr std::string_view kSnapshotPrefix = "snapshot-";
 constexpr int kHexadecimal = 16;
 
-/// One frame of the log.
+/// Payload of one frame of the log.
 struct LogRecord {
   std::optional<raft::HardState> hard_state;
-  bool reset = false;  ///< Entries before this frame are void.
+  bool reset = false;  ///< Entries of earlier frames are void.
   std::vector<raft::Entry> entries;
 
   MSGPACK_DEFINE(hard_state, reset, entries);
@@ -37,7 +37,7 @@
   return fmt::format("{}{:016x}", kSnapshotPrefix, index);
 }
 
-/// Numbers of the files of a prefix, in order.
+/// Sorted hexadecimal numbers of the files whose names are `prefix` and a number.
 std::vector<std::uint64_t> numbers_of(const std::vector<std::string>& names, std::string_view prefix) {
   std::vector<std::uint64_t> numbers;
   for (const auto& name : names) {
@@ -72,9 +72,9 @@
   BOOST_OUTCOME_TRY(existing, read_identity(disk));
   if (existing) {
     return core::fail(ErrorKind::kAlreadyExists, "The data folder belongs to " + existing->id.value() + ".",
-                      "Start without initializing it, or use an empty folder.");
+                      "Start without initializing the data folder, or use an empty folder.");
   }
-  // Without an identity, other files are left over from a creation that a crash cut short.
+  // Without an identity, other files are left over from a creation that a crash interrupted.
   BOOST_OUTCOME_TRY(names, disk.list());
   for (const auto& name : names) {
     BOOST_OUTCOME_TRYV(disk.remove(name));
@@ -92,8 +92,9 @@
 core::Result<RaftStorage> RaftStorage::open(Disk& disk, std::size_t segment_bytes) {
   BOOST_OUTCOME_TRY(identity, read_identity(disk));
   if (!identity) {
-    return core::fail(ErrorKind::kNotFound, "The data folder has no identity.",
-                      "Initialize it for a new cluster, or let the replica join an existing one.");
+    return core::fail(
+        ErrorKind::kNotFound, "The data folder has no identity.",
+        "Initialize the data folder for a new cluster, or let the replica join an existing cluster.");
   }
   RaftStorage storage(disk, segment_bytes);
   BOOST_OUTCOME_TRY(names, disk.list());
@@ -135,9 +136,11 @@
   const auto name = segment_name(number);
   BOOST_OUTCOME_TRY(bytes, disk_->read(name));
   BOOST_OUTCOME_TRY(frames, scan_frames(bytes, name));
-  if (frames.torn_tail && !last) return core::outcome::failure(corrupt(name, "a damaged end"));
+  if (frames.torn_tail && !last)
+    return core::outcome::failure(
+        corrupt(name, "a damaged record at its end, although it is not the last segment"));
   if (frames.torn_tail) {
-    // Nothing was promised on a frame whose sync did not finish.
+    // Nothing was acknowledged for a frame whose sync did not finish.
     BOOST_OUTCOME_TRYV(disk_->truncate(name, frames.intact_bytes));
     BOOST_OUTCOME_TRYV(disk_->sync(name));
   }
@@ -163,7 +166,7 @@
   const auto last_term = entries.empty() ? 0 : entries.back().term;
   const auto least_term = std::max(state_.snapshot.term, last_term);
   if (hard_state_.term < least_term) {
-    // A crash between the snapshot and the frame of the same Ready. Nothing was promised in the new term.
+    // A crash hit between the snapshot and the frame of one Ready. Nothing was acknowledged in the new term.
     hard_state_ = raft::HardState{least_term, {}, hard_state_.commit};
   }
   state_.hard_state = hard_state_;
@@ -172,8 +175,8 @@
                               (entries.back().index >= snapshot_index_ &&
                                entries[snapshot_index_ - entries.front().index].term == state_.snapshot.term);
   if (holds_snapshot) return core::outcome::success();
-  // The snapshot came from a leader and takes the place of a log that does not lead to it. This is written
-  // down before new entries follow, so that they are not read as a continuation of the old ones.
+  // The snapshot came from a leader and replaces a log that does not contain its last entry. The reset record
+  // is written before new entries, so that they are not replayed as a continuation of the old ones.
   entries.clear();
   return append_frame(wire::pack(LogRecord{hard_state_, true, {}}));
 }
@@ -213,14 +216,14 @@
   auto begun = begin_segment();
   if (begun || begun.error().kind != ErrorKind::kNoCapacity) return begun;
   BOOST_OUTCOME_TRYV(disk_->remove(segment_name(segments_.back().number)));
-  // A segment that were left would be followed by one of the same number.
+  // The removal must be durable: a leftover file would have the number of the next segment.
   BOOST_OUTCOME_TRYV(disk_->sync_directory());
   segments_.pop_back();
   return core::outcome::success();
 }
 
 core::Result<void> RaftStorage::open_segment() {
-  // Each segment begins with the hard state, so that older ones may go.
+  // Each segment starts with the hard state, so that older segments can be removed.
   BOOST_OUTCOME_TRYV(append_frame(wire::pack(LogRecord{hard_state_, false, {}})));
   return disk_->sync_directory();
 }
@@ -241,18 +244,18 @@
   return disk_->sync(name);
 }
 
-/// A frame that follows a partial one would count as damage. Cutting the rest off needs no sync: until the
-/// next frame is synced, whatever a crash leaves behind the last one is a torn tail.
+/// A partial frame followed by another frame would count as corruption. The truncation needs no sync: until
+/// the next frame is synced, a crash can leave only a torn tail after the last synced frame.
 core::Result<void> RaftStorage::cut_off_partial_frame() {
   const auto& segment = segments_.back();
   return disk_->truncate(segment_name(segment.number), segment.bytes);
 }
 
 core::Result<void> RaftStorage::remove_covered() {
-  // Oldest first: a segment that stays may hold entries that a removed later one had replaced.
+  // Oldest first: an older segment may hold entries that a later segment replaces.
   while (segments_.size() > 1 && segments_.front().last_index <= snapshot_index_) {
     BOOST_OUTCOME_TRYV(disk_->remove(segment_name(segments_.front().number)));
-    // Each removal is durable before the next, so that a crash never leaves a hole.
+    // Each removal is durable before the next one, so that a crash never leaves a gap in the segment numbers.
     BOOST_OUTCOME_TRYV(disk_->sync_directory());
     segments_.erase(segments_.begin());
   }
--- a/src/storage/raft_storage.hpp
+++ b/src/storage/raft_storage.hpp
@@ -1,8 +1,9 @@
 // Durable state of one Raft replica on a Disk: a segmented log and snapshots.
 //
-// Each Ready is one frame of the log, synced before the next, so that many proposals cost one sync. An entry
-// whose index is not behind the last one replaces the entries from there on; nothing is overwritten in place.
-// Snapshots are files of their own; log segments are removed, oldest first, once a snapshot covers them.
+// Each Ready is written as one frame of the log and synced before the next one, so that a batch of proposals
+// costs one sync. An entry whose index is at or below the last one replaces the entries from that index on
+// when the log is replayed; nothing is overwritten in place. Snapshots are separate files. Log segments are
+// removed, oldest first, once a snapshot covers them.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +20,25 @@
 namespace pipitpond::storage {
 
 inline constexpr const char* kIdentityName = "identity";
-/// A new segment is begun when the last one has grown beyond this.
+/// A new segment is started when the current one is larger than this.
 inline constexpr std::size_t kSegmentBytes = std::size_t{4} * 1024 * 1024;
 
 class RaftStorage {
  public:
-  /// Prepares a disk without an identity for a replica that starts from `state`: raft::bootstrap(...) for a
-  /// voter of a new cluster, an empty one for a replica that joins. The identity is written last, so that a
-  /// crash leaves a disk that counts as empty. Fails with kAlreadyExists when there is an identity.
+  /// Initializes a disk for a replica that starts from `state`: raft::bootstrap(...) for a voter of a new
+  /// cluster, an empty state for a replica that joins one. The identity is written last, so that a disk whose
+  /// creation was interrupted counts as empty. Fails with kAlreadyExists if the disk has an identity.
   static core::Result<void> create(Disk& disk, const Identity& identity, const raft::PersistedState& state);
 
-  /// Opens a disk with an identity and repairs what a crash may have left: a torn last frame is cut off.
+  /// Opens an initialized disk and truncates a last frame that a crash has torn.
   /// Fails with kNotFound (no identity) or kCorrupt. `disk` must outlive the storage.
   static core::Result<RaftStorage> open(Disk& disk, std::size_t segment_bytes = kSegmentBytes);
 
-  /// What the disk held when it was opened; may be taken once.
+  /// Moves out the state that was on the disk when it was opened; call at most once.
   raft::PersistedState take_state() { return std::move(state_); }
 
-  /// Step 1 of raft::Ready: durable on return. Fails with kNoCapacity when the disk is full: nothing of it is
-  /// durable, and the same Ready may be given again. After any other failure the process must stop.
+  /// Does step 1 of raft::Ready; durable on return. Fails with kNoCapacity when the disk is full: the Ready
+  /// is not durable, and the same one may be passed again. After any other error the process must stop.
   core::Result<void> persist(const raft::Ready& ready);
 
   /// Bytes of log frames and snapshots written since the storage was opened.
@@ -46,7 +47,7 @@
  private:
   struct Segment {
     std::uint64_t number = 0;
-    raft::Index last_index = 0;  ///< Greatest entry index in it.
+    raft::Index last_index = 0;  ///< Greatest entry index in the segment.
     std::size_t bytes = 0;
   };
 
@@ -58,7 +59,7 @@
   core::Result<void> settle_log();
   core::Result<void> save_snapshot(const raft::Snapshot& snapshot);
   core::Result<void> begin_segment();
-  /// Goes on in the last segment when there is no room for another one.
+  /// Keeps writing to the current segment if the disk has no room for a new one.
   core::Result<void> begin_segment_if_there_is_room();
   core::Result<void> open_segment();
   core::Result<void> append_frame(const std::string& payload);
@@ -67,7 +68,7 @@
 
   Disk* disk_;
   std::size_t segment_bytes_;
-  std::vector<Segment> segments_;  ///< The last one is written to.
+  std::vector<Segment> segments_;  ///< Oldest first; the last one is appended to.
   raft::HardState hard_state_;
   raft::Index snapshot_index_ = 0;
   std::uint64_t bytes_written_ = 0;
--- a/tests/raft/cluster.hpp
+++ b/tests/raft/cluster.hpp
@@ -1,4 +1,4 @@
-// A few raft::Nodes joined by a network that loses nothing unless a link is cut, with virtual time.
+// Test cluster of raft::Nodes on virtual time. The network loses messages only of replicas that are cut off.
 #pragma once
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   return membership;
 }
 
-/// One replica with the durable state that its driver has "synced" and the commands it has applied.
+/// One replica with its durable state, the commands that it has applied and the results of its reads.
 struct Replica {
   Node node;
   PersistedState disk;
@@ -70,7 +70,7 @@
 
   void cut(const core::ControlId& id) { cut_.insert(id); }
   [[nodiscard]] bool is_cut(const core::ControlId& id) const { return cut_.count(id) > 0; }
-  /// Restarts all replicas with this setting.
+  /// Changes Config::least_voters of all replicas and restarts them.
   void set_least_voters(std::size_t least_voters) {
     least_voters_ = least_voters;
     std::vector<core::ControlId> all;
@@ -79,7 +79,7 @@
   }
   void heal(const core::ControlId& id) { cut_.erase(id); }
 
-  /// Lets time pass in steps of 10 ms until the condition holds; false when it does not in time.
+  /// Advances the time in steps of 10 ms until the condition holds; false if it does not within `limit`.
   bool run_until(const std::function<bool()>& condition, milliseconds limit = milliseconds(10000)) {
     const auto end = now + limit;
     while (now < end) {
@@ -96,8 +96,8 @@
     run_until([] { return false; }, time);
   }
 
-  /// Delivers a message that names no receiver to whoever runs at a place; a replica that lost its disk runs
-  /// at the place of the one that it was.
+  /// Delivers a message that names no receiver to every replica at an endpoint. A replica that rejoined after
+  /// it lost its disk (id with "#") has the endpoint of its earlier id.
   void send_to_place(const core::Endpoint& place, const Message& message) {
     for (auto& [id, each] : replicas_) {
       const auto base = core::ControlId(id.value().substr(0, id.value().find('#')));
@@ -107,7 +107,7 @@
     }
   }
 
-  /// The leader of the greatest term among replicas that are not cut off.
+  /// The leader of the greatest term among replicas that are not cut off; null if there is none.
   Node* leader() {
     Node* best = nullptr;
     for (auto& [id, each] : replicas_) {
@@ -120,7 +120,7 @@
     run_until([this] { return leader() != nullptr && leader()->leads_with_committed_term(); });
     return *leader();
   }
-  /// Proposes at the leader and waits until it is applied by every replica that is in contact.
+  /// Proposes a command at the leader and waits until every replica that is not cut off has applied it.
   bool commit(const std::string& command) {
     if (elect().propose(now, command).has_failure()) return false;
     return run_until([&] {
@@ -132,9 +132,9 @@
   }
 
   core::Instant now{std::chrono::hours(1)};
-  std::size_t entry_bytes_lost = 0;  ///< Of appends and snapshots to or from replicas that are cut off.
-  std::vector<core::Instant> snapshots_lost;  ///< When snapshots were sent that were lost.
-  bool loses_snapshots = false;               ///< Also of replicas that are not cut off.
+  std::size_t entry_bytes_lost = 0;           ///< Size of the entries and snapshot states in lost messages.
+  std::vector<core::Instant> snapshots_lost;  ///< Times at which snapshots were lost.
+  bool loses_snapshots = false;  ///< Lose all snapshots, not only those of replicas that are cut off.
 
  private:
   static std::vector<std::string> split(const std::string& state) {
@@ -212,7 +212,7 @@
   Mechanisms mechanisms_;
 };
 
-/// A command list as a snapshot state.
+/// Encodes a list of commands as a snapshot state.
 inline std::string joined(const std::vector<std::string>& commands) {
   std::string state;
   for (const auto& command : commands) state += command + " ";
--- a/tests/raft/joining_test.cpp
+++ b/tests/raft/joining_test.cpp
@@ -1,4 +1,4 @@
-// How a replica that is no member finds a leader that lets it in, whom its settings don't name.
+// A replica that is not a member finds the leader and joins, although its settings do not name the leader.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -17,10 +17,10 @@
 using testing::replica;
 
 constexpr milliseconds kAskInterval{100};
-/// What a leader that stays for a second must be able to do.
+/// A leader that is in office for only 1 s must be able to let a replica join.
 constexpr milliseconds kJoinLimit{1000};
 
-/// Does for one replica what control::Joiner does.
+/// Sends join requests for one replica, like control::Joiner.
 class Asker {
  public:
   Asker(Cluster& cluster, Member self, const std::vector<core::ControlId>& settings)
@@ -40,7 +40,7 @@
     }
   }
 
-  /// True when the replica votes and nobody else has its place.
+  /// True if the replica becomes a voter by a committed change within `limit`.
   bool joins_within(milliseconds limit) {
     return cluster_.run_until(
         [this] {
--- a/tests/raft/membership_test.cpp
+++ b/tests/raft/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership of raft::Node: learners, removal, and the return of a replica whose disk was lost.
+// Membership changes of raft::Node: learners, removals, and the return of a replica that lost its disk.
 #include <gtest/gtest.h>
 
 #include "raft/cluster.hpp"
@@ -21,7 +21,7 @@
   ASSERT_TRUE(cluster.commit("a"));
   ASSERT_TRUE(cluster.elect().propose_membership(cluster.now, add(replica(4))).has_value());
   cluster.run_for(milliseconds(2000));
-  // Nobody answers at its place yet.
+  // No replica runs at its endpoint yet.
   EXPECT_FALSE(cluster.leader()->membership().is_voter(replica(4)));
   cluster.start(replica(4), {});
   ASSERT_TRUE(cluster.run_until([&] { return cluster.leader()->membership().is_voter(replica(4)); }));
@@ -73,7 +73,7 @@
   auto newcomer = member(core::ControlId(lost.value() + "#2"), MemberRole::kLearner);
   newcomer.internal = member(lost).internal;
   cluster.start(newcomer.id, {});
-  // Refused while the lost replica may still be alive, then let in.
+  // Refused while the lost replica may still be alive, then admitted.
   cluster.leader()->step(cluster.now, cluster.node(newcomer.id).join_request(newcomer));
   EXPECT_EQ(cluster.leader()->membership().find(newcomer.id), nullptr);
   ASSERT_TRUE(cluster.run_until([&] {
@@ -84,21 +84,19 @@
   }));
   EXPECT_EQ(cluster.leader()->membership().members.size(), 3U);
 
-  // The second machine is lost right after the first was repaired: all that was committed is still there.
+  // A second machine fails right after the first one was replaced: all committed entries are still there.
   const auto second = cluster.leader()->config().id;
   cluster.cut(second);
   ASSERT_TRUE(cluster.commit("b"));
   EXPECT_EQ(cluster.at(newcomer.id).applied, (std::vector<std::string>{"a", "b"}));
 }
 
-// What users saw: control did not come back after a loss of all power with one disk, for good. Order of
-// events: one of three replicas lost its disk and returned; all of control was killed twice and returned;
-// then everything lost power and a second disk was lost. Cause: the leader let the returned replica take its
-// own earlier self's place only after that had been silent for four of the longest election timeouts, counted
-// anew by each leader. So the replica could be no voter yet when the second disk went, and no majority was
-// left. Evidence: logs of two failed runs of a fleet of processes show leaders of four terms within 13 s, and
-// after the loss one replica that stands for election alone, 83 and 84 times in 30 s; with one election
-// timeout of silence 6 of 6 runs came back, without it 3 of 6.
+// Guards against a permanent loss of the majority: one of three replicas loses its disk and rejoins, leaders
+// change often, and then a second disk is lost. If a leader waits for four of the longest election timeouts
+// of silence, measured anew by each leader, before the rejoined replica may replace its old id, that replica
+// is not yet a voter when the second disk is lost. Runs of a fleet of processes failed this way with
+// leaders of four terms within 13 s; with a wait of one election timeout 6 of 6 runs recovered, without it
+// 3 of 6.
 TEST(Membership, ReplicaWithLostDiskIsAVoterAgainUnderAShortLivedLeader) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
@@ -109,7 +107,7 @@
   newcomer.internal = member(lost).internal;
   cluster.start(newcomer.id, {});
 
-  // Its driver asks each 100 ms.
+  // The driver sends a join request every 100 ms.
   const auto begun = cluster.now;
   auto next_request = cluster.now;
   const auto in_its_place = [&] {
@@ -122,10 +120,10 @@
            present->membership().find(lost) == nullptr && !present->membership_change_pending();
   };
   ASSERT_TRUE(cluster.run_until(in_its_place));
-  // A leader that stays for a second is enough: leaders that are elected after a loss of power do.
+  // One leader must be able to do it within 1 s: leaders elected after a loss of power stay that long.
   EXPECT_LE(cluster.now - begun, milliseconds(1000));
 
-  // The second disk goes; what is left is a majority.
+  // The second disk is lost; the remaining replicas are a majority.
   cluster.stop(leader);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.leader() != nullptr; }));
   EXPECT_EQ(cluster.elect().membership().voter_count(), 3U);
@@ -139,7 +137,7 @@
   for (int number = 1; number <= 3; ++number) {
     if (replica(number) != first) cluster.cut(replica(number));
   }
-  // Only the newcomer hears that it is added; the others elect a leader who knows nothing of it.
+  // Only the new replica receives the change that adds it; the others elect a leader without that change.
   cluster.start(replica(4), {});
   EXPECT_TRUE(cluster.node(replica(4)).wants_to_join());
   ASSERT_TRUE(leader.propose_membership(cluster.now, add(replica(4))).has_value());
@@ -161,10 +159,9 @@
   EXPECT_EQ(leader.membership().find(replica(9)), nullptr);
 }
 
-// --- Open membership
-// ----------------------------------------------------------------------------------------------
+// --- Open membership ---
 
-/// A replica with an empty disk asks to join until it is a voter.
+/// Starts a replica with an empty disk, which sends join requests until it is a voter.
 bool joins(Cluster& cluster, const core::ControlId& id) {
   cluster.start(id, {});
   return cluster.run_until([&] {
@@ -207,7 +204,7 @@
   EXPECT_TRUE(cluster.commit("b"));
 }
 
-/// Hands leadership to another replica.
+/// Transfers leadership to another replica.
 void change_leader(Cluster& cluster) {
   const auto before = cluster.elect().config().id;
   ASSERT_TRUE(cluster.elect().transfer_leadership(cluster.now).has_value());
@@ -217,8 +214,8 @@
   }));
 }
 
-/// Three of five machines are replaced by empty ones at new addresses, one each `interval`, and a fourth
-/// loses its disk: true when the four that are left elect a leader.
+/// Replaces three of five machines by empty ones at new endpoints, one per `interval`, and then stops the
+/// leader. True if the four running machines elect a leader.
 bool outlives_three_replacements(milliseconds interval, bool leaders_change) {
   Cluster cluster(5, true);
   std::vector<core::ControlId> running = {replica(1), replica(2), replica(3), replica(4), replica(5)};
--- a/tests/raft/node_test.cpp
+++ b/tests/raft/node_test.cpp
@@ -1,4 +1,4 @@
-// Elections, replication, snapshots and reads of raft::Node.
+// Elections, replication, snapshots, reads and leadership transfer of raft::Node.
 #include "raft/node.hpp"
 
 #include <gtest/gtest.h>
@@ -86,7 +86,8 @@
   EXPECT_TRUE(cluster.run_until([&] { return old.role() != Role::kLeader; }));
 }
 
-/// What check-quorum is for: a vote asked for while the leader is sure of its quorum, with and without it.
+/// A vote is requested while the leader has a quorum. Without check-quorum it is granted, so that a second
+/// leader could be elected. Runs with and without the mechanism.
 class VoteBesideALeaderTest : public ::testing::TestWithParam<bool> {};
 
 TEST_P(VoteBesideALeaderTest, IsRefusedWithCheckQuorumOnly) {
@@ -101,7 +102,7 @@
   const Term term = cluster.node(leader).term();
   const VoteRequest request{cluster.node(leader).log().last(), false};
   cluster.node(voter).step(cluster.now, Message{"test", candidate, voter, term + 1, request});
-  ASSERT_TRUE(cluster.node(leader).has_quorum(cluster.now)) << "it heard from the voter just now";
+  ASSERT_TRUE(cluster.node(leader).has_quorum(cluster.now)) << "the voter has just answered the leader";
   EXPECT_EQ(cluster.node(voter).term(), check_quorum ? term : term + 1);
   bool granted = false;
   for (const Message& message : cluster.node(voter).take_ready().messages) {
@@ -148,8 +149,7 @@
 }
 
 TEST(Node, ARestartedReplicaAppliesAllButTheNewestBatchBeforeItHearsOfALeader) {
-  // Bench, kerbrat-pieces trouble-2: after a loss of power no replica could tell daemons anything until one
-  // led.
+  // Otherwise no replica can serve any state to daemons after a loss of power until a leader is elected.
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   ASSERT_TRUE(cluster.commit("b"));
@@ -178,8 +178,8 @@
   EXPECT_EQ(cluster.at(away).applied, each.applied);
 }
 
-// A leader of a new term does not know where a member's log ends; one of the same term sends ahead of
-// answers.
+// Guards against a leader that queues entries again and again for an unreachable member. Runs with a leader
+// of the same term, which pipelines appends, and with one of a new term, which first probes the member's log.
 class SilentMemberTest : public ::testing::TestWithParam<bool> {};
 
 TEST_P(SilentMemberTest, IsSentOneWindowOfEntriesInACutOfMinutes) {
@@ -215,7 +215,7 @@
   }
   auto& node = cluster.node(leader);
   node.compact(node.applied_index(), joined(cluster.at(leader).applied));
-  // Long enough for the leader to learn that it needs a snapshot, which is lost.
+  // Long enough for the leader to find that the member needs a snapshot, which is then lost.
   cluster.loses_snapshots = true;
   cluster.heal(silent);
   cluster.run_for(milliseconds(200));
@@ -223,7 +223,7 @@
   cluster.run_for(std::chrono::minutes(3));
   const auto& sent = cluster.snapshots_lost;
   ASSERT_GE(sent.size(), 4U);
-  // Each 2 s they would be 90.
+  // One per retry interval of 2 s would make 90.
   EXPECT_LE(sent.size(), 15U);
   EXPECT_GT(sent[3] - sent[2], sent[1] - sent[0]);
   cluster.loses_snapshots = false;
--- a/tests/storage/file_disk_test.cpp
+++ b/tests/storage/file_disk_test.cpp
@@ -1,4 +1,4 @@
-// The real disk, in a temporary folder.
+// FileDisk on a temporary folder of the real file system.
 #include "storage/file_disk.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/storage/raft_storage_test.cpp
+++ b/tests/storage/raft_storage_test.cpp
@@ -1,4 +1,4 @@
-// Durable Raft state under crashes, torn writes and damage.
+// RaftStorage after crashes, torn writes, corruption and a full disk.
 #include "storage/raft_storage.hpp"
 
 #include <gtest/gtest.h>
@@ -55,7 +55,7 @@
   return storage.take_state();
 }
 
-/// A disk with room for some more bytes only.
+/// A disk with a limited number of free bytes.
 class NarrowDisk : public Disk {
  public:
   explicit NarrowDisk(Disk& disk) : disk_(disk) {}
@@ -85,7 +85,7 @@
   Disk& disk_;
 };
 
-/// The last segment's name.
+/// Name of the last log segment.
 std::string last_segment(Disk& disk) {
   std::string last;
   const auto names = disk.list().value();
@@ -95,7 +95,8 @@
   return last;
 }
 
-/// Plays appends and a snapshot with each amount of room, frees the disk, and goes on.
+/// Persists entries and a snapshot with every amount of free space up to 700 bytes. When the disk is full,
+/// either crashes or frees space and persists the same Ready again.
 class FullDiskTest : public ::testing::TestWithParam<bool> {};
 
 TEST_P(FullDiskTest, NothingIsLostAndTheSameReadyIsTakenOnceThereIsRoom) {
@@ -115,7 +116,7 @@
       if (!done) {
         ASSERT_EQ(done.error().kind, core::ErrorKind::kNoCapacity) << room;
         if (crashes) break;
-        ASSERT_FALSE(storage.value().persist(step).has_value()) << "there is no room yet";
+        ASSERT_FALSE(storage.value().persist(step).has_value()) << "the disk is still full";
         narrow.room = std::numeric_limits<std::size_t>::max();
         done = storage.value().persist(step);
       }
@@ -167,7 +168,7 @@
       auto reopened = RaftStorage::open(disk);
       ASSERT_TRUE(reopened.has_value()) << length;
       ASSERT_EQ(reopened.value().take_state().entries.size(), 2U) << length;
-      // What is written next must be found again.
+      // Entries that are written next must be readable.
       ASSERT_TRUE(reopened.value().persist(append(4, 4, 3)).has_value());
       ASSERT_EQ(load(disk).value().entries.back(), entry(4, 3)) << length;
     }
@@ -236,14 +237,14 @@
   }
 }
 
-/// A life of a replica: what it persists, one Ready after the other.
+/// A sequence of Readys that one replica persists.
 std::vector<raft::Ready> script() {
   return {append(2, 4, 1),     append(5, 9, 1),     append(7, 8, 2),   compaction(5, 1),  append(9, 12, 2),
           installation(20, 4), append(21, 24, 4),   append(23, 23, 5), compaction(22, 4), append(24, 30, 6),
           compaction(30, 6),   installation(40, 7), append(41, 41, 7)};
 }
 
-/// What a replica holds after the first `count` of them, by a model without files.
+/// Expected state after the first `count` Readys, computed by a model without files.
 raft::PersistedState model(std::size_t count) {
   auto state = first_state();
   const auto steps = script();
@@ -268,7 +269,7 @@
          entries == wanted.entries;
 }
 
-/// Runs the script until the disk fails; how many steps were promised to be durable.
+/// Persists the script until the disk fails; returns how many steps were reported as durable.
 std::size_t run_until_failure(SimulatedDisk& disk) {
   const auto steps = script();
   auto storage = RaftStorage::open(disk, kSmallSegment);
@@ -279,7 +280,7 @@
   return steps.size();
 }
 
-/// What is written after a recovery is there after the next one.
+/// Entries that are written after a recovery survive the next crash.
 void expect_continues(SimulatedDisk& disk) {
   auto storage = RaftStorage::open(disk, kSmallSegment);
   ASSERT_TRUE(storage.has_value());
@@ -306,7 +307,7 @@
       const auto promised = run_until_failure(disk);
       finished = promised == script().size();
       disk.crash();
-      // Crash again at once while it recovers, then recover for good.
+      // Crash a second time during the recovery, then recover completely.
       disk.fail_after(seed);
       (void)load(disk);
       disk.crash();
@@ -315,7 +316,7 @@
       const auto& found = state.value();
       const bool before = same(found, model(promised));
       const bool after = !finished && same(found, model(promised + 1));
-      // Of an installation, the snapshot alone may have become durable: its frame has promised nothing yet.
+      // When a snapshot is installed, it may be durable without its frame: nothing was acknowledged yet.
       const bool half = !finished && script()[promised].restore &&
                         found.snapshot == *script()[promised].snapshot &&
                         found.hard_state.term >= model(promised).hard_state.term;
