--- a/src/raft/config.hpp
+++ b/src/raft/config.hpp
@@ -28,7 +28,7 @@
   core::Duration election_timeout_min = protocol::kRaftElectionTimeoutMin;
   core::Duration election_timeout_max = protocol::kRaftElectionTimeoutMax;
   /// An unanswered snapshot is sent again after this time; the interval grows while the member stays silent.
-  core::Duration snapshot_retry = std::chrono::milliseconds(2000);
+  core::Duration snapshot_retry_interval = std::chrono::milliseconds(2000);
   /// Entries kept in the log before a snapshot, so that a slightly lagging follower needs no snapshot.
   std::size_t trailing_entries = 256;
   /// Bound of the same entries in bytes: 256 changes of 1,340 routes take 77 MB of memory and of disk, too
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// True if the entries are contiguous with the snapshot or contain the snapshot's last entry.
-bool continues(const Snapshot& snapshot, const std::vector<Entry>& entries) {
+bool is_contiguous(const Snapshot& snapshot, const std::vector<Entry>& entries) {
   if (entries.empty()) return false;
   const auto first = entries.front().index;
   if (first > snapshot.index) return first == snapshot.index + 1;
@@ -30,7 +30,7 @@
 Log::Log(Snapshot snapshot, std::vector<Entry> entries)
     : snapshot_(std::move(snapshot)), base_{snapshot_.term, snapshot_.index} {
   memberships_.push_back({snapshot_.index, snapshot_.membership});
-  if (!continues(snapshot_, entries)) return;
+  if (!is_contiguous(snapshot_, entries)) return;
   auto begin = entries.begin();
   if (begin->index <= snapshot_.index) {
     // The first entry itself is not kept: it supplies the term of the position before the log.
@@ -79,7 +79,7 @@
 }
 
 void Log::append(Entry entry) {
-  note_membership(entry);
+  record_membership(entry);
   entries_.push_back(std::move(entry));
 }
 
@@ -95,7 +95,7 @@
   return first_new;
 }
 
-Index Log::first_within(Index index, const TrailingLimits& trailing) const {
+Index Log::first_trailing_index(Index index, const TrailingLimits& trailing) const {
   Index first = index + 1;
   std::size_t bytes = 0;
   while (first > first_index() && index + 1 - first < trailing.entries) {
@@ -109,7 +109,7 @@
 void Log::compact(Index index, std::string state, const TrailingLimits& trailing) {
   snapshot_ = Snapshot{index, *term_at(index), membership_at(index), std::move(state)};
   while (memberships_.size() > 1 && memberships_[1].index <= index) memberships_.erase(memberships_.begin());
-  const Index first_kept = first_within(index, trailing);
+  const Index first_kept = first_trailing_index(index, trailing);
   while (first_index() < first_kept) {
     base_ = {entries_.front().term, entries_.front().index};
     entries_.pop_front();
@@ -134,7 +134,7 @@
   while (memberships_.size() > 1 && memberships_.back().index >= index) memberships_.pop_back();
 }
 
-void Log::note_membership(const Entry& entry) {
+void Log::record_membership(const Entry& entry) {
   // The snapshot's membership already includes the changes up to its index.
   if (entry.kind != EntryKind::kMembership || entry.index <= snapshot_.index) return;
   memberships_.push_back({entry.index, entry.membership});
--- a/src/raft/log.hpp
+++ b/src/raft/log.hpp
@@ -40,7 +40,7 @@
   [[nodiscard]] std::vector<Entry> slice(Index from, std::size_t max_entries, std::size_t max_bytes) const;
   /// Entries in the closed range [from, to].
   [[nodiscard]] std::vector<Entry> range(Index from, Index to) const;
-  /// Greatest index up to `index` whose term is at most `term`: the last place where two logs can agree.
+  /// Greatest index up to `index` whose term is at most `term`: up to there two logs can agree.
   [[nodiscard]] Index last_index_up_to_term(Index index, Term term) const;
 
   /// Appends an entry, whose index must be last_index() + 1.
@@ -67,9 +67,9 @@
   };
 
   /// Lowest index that is kept when entries up to `index` are compacted.
-  [[nodiscard]] Index first_within(Index index, const TrailingLimits& trailing) const;
+  [[nodiscard]] Index first_trailing_index(Index index, const TrailingLimits& trailing) const;
   void truncate_from(Index index);
-  void note_membership(const Entry& entry);
+  void record_membership(const Entry& entry);
 
   Snapshot snapshot_;
   core::LogPosition base_;  ///< Position of the entry before first_index().
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -16,9 +16,9 @@
       // This replica may have answered a leader just before it restarted. Counting the start as a contact
       // keeps it from voting for another candidate within an election timeout, which has_quorum relies on.
       last_leader_contact_(now),
-      earlier_silence_(now) {
+      reported_contacts_(now) {
   hard_state_.commit = std::clamp(hard_state_.commit, log_.snapshot().index, log_.last_index());
-  handed_out_hard_state_ = hard_state_;
+  last_ready_hard_state_ = hard_state_;
   persisted_ = log_.last_index();
   applied_ = log_.snapshot().index;
   reset_election_timer();
@@ -27,26 +27,26 @@
 void Node::tick(core::Instant now) {
   now_ = std::max(now_, now);
   if (role_ == Role::kLeader) {
-    lead();
+    tick_leader();
     return;
   }
-  if (now_ >= election_deadline_) stand();
+  if (now_ >= election_deadline_) start_candidacy();
 }
 
 void Node::step(core::Instant now, Message message) {
   now_ = std::max(now_, now);
-  const bool joins = std::holds_alternative<JoinRequest>(message.body);
-  const bool of_no_term = joins || std::holds_alternative<JoinReply>(message.body);
+  const bool is_join_request = std::holds_alternative<JoinRequest>(message.body);
+  const bool is_termless = is_join_request || std::holds_alternative<JoinReply>(message.body);
   // A replica id that was lost with its disk may have used this endpoint: its messages are dropped.
-  if (message.cluster != config_.cluster || (message.to != config_.id && !joins)) return;
+  if (message.cluster != config_.cluster || (message.to != config_.id && !is_join_request)) return;
   if (message.from == config_.id) return;
-  if (!of_no_term && !accept_term(message)) return;
+  if (!is_termless && !accept_term(message)) return;
   std::visit([&](const auto& body) { handle(message, body); }, message.body);
 }
 
 bool Node::accept_term(const Message& message) {
   if (message.term < hard_state_.term) {
-    refuse_old_term(message);
+    reject_stale_term(message);
     return false;
   }
   if (message.term == hard_state_.term) return true;
@@ -59,12 +59,12 @@
   const auto* vote = std::get_if<VoteRequest>(&message.body);
   // No vote while there is contact with a leader: a replica that returns from a partition does not disrupt
   // the leader, and has_quorum can guarantee that there is no other one.
-  if (vote != nullptr && !vote->transfer && heard_from_leader_recently()) return false;
+  if (vote != nullptr && !vote->transfer && has_recent_leader_contact()) return false;
   become_follower(message.term, std::nullopt);
   return true;
 }
 
-void Node::refuse_old_term(const Message& message) {
+void Node::reject_stale_term(const Message& message) {
   // The reply carries this replica's term, so that a stale leader steps down and a stale candidate adopts it.
   if (const auto* append = std::get_if<AppendRequest>(&message.body)) {
     send(message.from, AppendReply{false, append->previous.index, 0, 0, append->round});
@@ -106,17 +106,17 @@
 }
 
 bool Node::has_ready() const {
-  if (in_flight_) return false;
+  if (taken_ready_) return false;
   const bool reads_can_start = reads_.needs_round() && leads_with_committed_term();
-  return hard_state_.term != handed_out_hard_state_.term ||
-         hard_state_.voted_for != handed_out_hard_state_.voted_for || snapshot_changed_ ||
+  return hard_state_.term != last_ready_hard_state_.term ||
+         hard_state_.voted_for != last_ready_hard_state_.voted_for || snapshot_changed_ ||
          persisted_ < log_.last_index() || !messages_.empty() || applied_ < hard_state_.commit ||
-         !read_results_.empty() || append_wanted_ || commit_notice_wanted_ || reads_can_start;
+         !read_results_.empty() || append_pending_ || commit_broadcast_pending_ || reads_can_start;
 }
 
 Ready Node::take_ready() {
   Ready ready;
-  if (in_flight_) return ready;
+  if (taken_ready_) return ready;
   if (role_ == Role::kLeader) {
     // All proposals and reads since the last Ready share one round of appends.
     const bool new_round = reads_.needs_round() && leads_with_committed_term();
@@ -124,11 +124,12 @@
       begin_round();
       reads_.begin_round(round_, hard_state_.commit);
     }
-    if (new_round || append_wanted_ || commit_notice_wanted_) send_to_all(new_round || commit_notice_wanted_);
+    if (new_round || append_pending_ || commit_broadcast_pending_)
+      send_to_all(new_round || commit_broadcast_pending_);
     confirm_reads();
   }
-  append_wanted_ = false;
-  commit_notice_wanted_ = false;
+  append_pending_ = false;
+  commit_broadcast_pending_ = false;
   collect_persistence(ready);
   // Sent after the sync, because replies acknowledge what this Ready persists. A leader could send its
   // appends before the sync, but only if its term is already synced; a sole voter's term is not, as it elects
@@ -138,16 +139,16 @@
   ready.decisions = std::exchange(decisions_, {});
   const auto apply_from = std::max(applied_, ready.restore ? log_.snapshot().index : 0) + 1;
   if (apply_from <= hard_state_.commit) ready.committed = log_.range(apply_from, hard_state_.commit);
-  in_flight_ = InFlight{log_.last(), hard_state_.commit};
+  taken_ready_ = TakenReady{log_.last(), hard_state_.commit};
   return ready;
 }
 
 void Node::collect_persistence(Ready& ready) {
-  if (hard_state_.term != handed_out_hard_state_.term ||
-      hard_state_.voted_for != handed_out_hard_state_.voted_for) {
+  if (hard_state_.term != last_ready_hard_state_.term ||
+      hard_state_.voted_for != last_ready_hard_state_.voted_for) {
     ready.hard_state = hard_state_;
   }
-  handed_out_hard_state_ = hard_state_;
+  last_ready_hard_state_ = hard_state_;
   if (snapshot_changed_) ready.snapshot = log_.snapshot();
   ready.restore = restore_;
   ready.reset_log = restore_;
@@ -164,8 +165,8 @@
 
 void Node::advance(core::Instant now) {
   now_ = std::max(now_, now);
-  if (!in_flight_) return;
-  const auto done = *std::exchange(in_flight_, std::nullopt);
+  if (!taken_ready_) return;
+  const auto done = *std::exchange(taken_ready_, std::nullopt);
   applied_ = std::max(applied_, done.applied);
   // If the log still has the last persisted entry, all entries before it are the persisted ones too (log
   // matching property). Otherwise a new leader has replaced it, and persisted_ was lowered at that time.
@@ -174,8 +175,8 @@
 }
 
 void Node::compact(Index index, std::string state) {
-  const bool held = index > log_.snapshot().index && index <= applied_;
-  if (!held || restore_) return;
+  const bool can_compact = index > log_.snapshot().index && index <= applied_;
+  if (!can_compact || restore_) return;
   log_.compact(index, std::move(state), {config_.trailing_entries, config_.trailing_bytes});
   snapshot_changed_ = true;
 }
@@ -193,8 +194,8 @@
   entry.term = hard_state_.term;
   const bool changes_members = entry.kind == EntryKind::kMembership;
   log_.append(std::move(entry));
-  append_wanted_ = true;
-  if (changes_members) follow_membership();
+  append_pending_ = true;
+  if (changes_members) update_tracked_members();
   return log_.last();
 }
 
--- a/src/raft/node.hpp
+++ b/src/raft/node.hpp
@@ -153,7 +153,7 @@
   /// Compares the message's term with this replica's and adopts a newer one. False if the message must not be
   /// handled any further.
   bool accept_term(const Message& message);
-  void refuse_old_term(const Message& message);
+  void reject_stale_term(const Message& message);
   core::LogPosition append_entry(Entry entry);
   void commit_to(Index index);
   void fail_reads();
@@ -164,16 +164,16 @@
   // Roles (node_election.cpp).
   void become_follower(Term term, std::optional<core::ControlId> leader);
   void become_leader();
-  void stand();
+  void start_candidacy();
   void start_election(bool transfer);
   void request_votes(Term term, const MessageBody& request);
   void count_votes();
   void reset_election_timer();
-  void note_lost_candidacy();
+  void record_lost_candidacy();
   /// True once the time for collecting votes has passed. Votes that were queued while the process was
   /// suspended are stale: the others may have elected a leader of a newer term.
-  [[nodiscard]] bool election_is_over() const;
-  [[nodiscard]] bool heard_from_leader_recently() const;
+  [[nodiscard]] bool election_timed_out() const;
+  [[nodiscard]] bool has_recent_leader_contact() const;
   void handle(const Message& message, const PreVoteRequest& request);
   void handle(const Message& message, const PreVoteReply& reply);
   void handle(const Message& message, const VoteRequest& request);
@@ -181,21 +181,21 @@
   void handle(const Message& message, const TimeoutNow& request);
 
   // Follower's side of replication (node_follower.cpp).
-  void follow(const Message& message);
+  void accept_leader(const Message& message);
   void handle(const Message& message, const AppendRequest& request);
   void handle(const Message& message, const SnapshotRequest& request);
 
   // Leader's side of replication (node_leader.cpp).
   void handle(const Message& message, const AppendReply& reply);
-  void lead();
+  void tick_leader();
   void begin_round();
   void send_append(const core::ControlId& to, Progress& progress, bool heartbeat);
   void send_entries(const core::ControlId& to, Progress& progress, bool heartbeat);
   [[nodiscard]] bool may_send_entries(const Progress& progress) const;
   void send_snapshot(const core::ControlId& to, Progress& progress);
   void send_to_all(bool heartbeat);
-  void note_contact(Progress& progress, Round round);
-  void note_mismatch(const core::ControlId& to, Progress& progress, const AppendReply& reply);
+  void record_contact(Progress& progress, Round round);
+  void handle_mismatch(const core::ControlId& to, Progress& progress, const AppendReply& reply);
   void advance_commit();
   void confirm_reads();
   [[nodiscard]] Round quorum_round() const;
@@ -207,25 +207,25 @@
   void handle(const Message& message, const JoinReply& reply);
   /// Adds the replica as a learner. Empty if it is a member now, else the reason of the refusal.
   std::optional<JoinRefusal> admit(const Member& joiner);
-  void admit_stranger(const Member& joiner);
+  void admit_at_new_endpoint(const Member& joiner);
   /// A silent voter that no other member replaces yet; empty: none.
   [[nodiscard]] core::ControlId unreplaced_silent_voter() const;
 
   // Membership and transfer (node_membership.cpp).
   /// Time since a member last answered a leader, earlier leaders included.
-  [[nodiscard]] core::Duration silence_of(const core::ControlId& id) const;
+  [[nodiscard]] core::Duration time_since_contact(const core::ControlId& id) const;
   /// Voters that have not answered this leader within the shortest election timeout.
   [[nodiscard]] std::vector<SilentMember> silent_voters() const;
   [[nodiscard]] AppendRequest append_after(const core::LogPosition& previous) const;
   [[nodiscard]] core::Result<void> may_change_membership() const;
   core::LogPosition append_membership(Membership membership);
-  void note_decision(MembershipReason reason, const Member& member);
-  void follow_membership();
+  void record_decision(MembershipReason reason, const Member& member);
+  void update_tracked_members();
   void promote_or_remove();
-  bool promote_a_learner();
-  bool remove_a_replaced();
-  bool remove_a_silent();
-  [[nodiscard]] bool can_spare_one() const;
+  bool promote_learner();
+  bool remove_replaced_member();
+  bool remove_silent_member();
+  [[nodiscard]] bool can_remove_voter() const;
   void remove_member(Member removed, MembershipReason reason);
   void continue_transfer();
 
@@ -238,10 +238,10 @@
   std::optional<core::ControlId> leader_;
   core::Instant election_deadline_{};
   core::Instant last_leader_contact_;
-  EarlierSilence earlier_silence_;
+  ReportedContacts reported_contacts_;
 
   // Joining.
-  std::vector<core::Endpoint> named_replicas_;  ///< From JoinReplies; the newest last.
+  std::vector<core::Endpoint> suggested_endpoints_;  ///< From JoinReplies; the newest last.
   std::optional<JoinAnswer> join_answer_;
 
   // Candidates.
@@ -264,25 +264,25 @@
   std::optional<core::ControlId> transfer_target_;
   core::Instant transfer_deadline_{};
   bool timeout_now_sent_ = false;
-  bool append_wanted_ = false;  ///< There are new entries to send.
+  bool append_pending_ = false;  ///< There are new entries to send.
   /// The new commit index is to be sent without waiting for the next heartbeat.
-  bool commit_notice_wanted_ = false;
+  bool commit_broadcast_pending_ = false;
 
   // Work for the driver.
   /// The Ready that was taken and is not advanced yet.
-  struct InFlight {
+  struct TakenReady {
     core::LogPosition persisted;  ///< Last entry of the durable log once this Ready is persisted.
     Index applied = 0;
   };
   std::vector<Message> messages_;
   std::vector<MembershipDecision> decisions_;
   std::vector<ReadResult> read_results_;
-  HardState handed_out_hard_state_;
+  HardState last_ready_hard_state_;
   Index persisted_ = 0;  ///< Entries up to here are synced.
   Index applied_ = 0;    ///< Entries up to here are applied.
   bool snapshot_changed_ = false;
   bool restore_ = false;
-  std::optional<InFlight> in_flight_;
+  std::optional<TakenReady> taken_ready_;
 };
 
 }  // namespace pipitpond::raft
--- a/src/raft/node_election.cpp
+++ b/src/raft/node_election.cpp
@@ -7,8 +7,8 @@
 namespace pipitpond::raft {
 
 void Node::become_follower(Term term, std::optional<core::ControlId> leader) {
-  note_lost_candidacy();
-  if (role_ == Role::kLeader) earlier_silence_.note(now_, silent_voters());
+  record_lost_candidacy();
+  if (role_ == Role::kLeader) reported_contacts_.update(now_, silent_voters());
   if (term > hard_state_.term) {
     hard_state_.term = term;
     hard_state_.voted_for = {};
@@ -19,25 +19,25 @@
   progress_.clear();
   rounds_.clear();
   transfer_target_.reset();
-  append_wanted_ = false;
-  commit_notice_wanted_ = false;
+  append_pending_ = false;
+  commit_broadcast_pending_ = false;
   fail_reads();
   reset_election_timer();
 }
 
 void Node::reset_election_timer() {
   const auto spread = (config_.election_timeout_max - config_.election_timeout_min).count() + 1;
-  const auto extra = static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(spread));
-  election_deadline_ = now_ + config_.election_timeout_min + core::Duration(extra);
+  const auto jitter = static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(spread));
+  election_deadline_ = now_ + config_.election_timeout_min + core::Duration(jitter);
 }
 
-bool Node::heard_from_leader_recently() const {
+bool Node::has_recent_leader_contact() const {
   if (!config_.mechanisms.check_quorum) return false;
   if (role_ == Role::kLeader) return has_quorum(now_);
   return now_ < last_leader_contact_ + config_.election_timeout_min;
 }
 
-void Node::note_lost_candidacy() {
+void Node::record_lost_candidacy() {
   if (role_ != Role::kPreCandidate && role_ != Role::kCandidate) return;
   lost_candidacy_ = LostCandidacy{candidacy_term_, {}, {}, {}};
   for (const auto& member : membership().members) {
@@ -51,8 +51,8 @@
   }
 }
 
-void Node::stand() {
-  note_lost_candidacy();
+void Node::start_candidacy() {
+  record_lost_candidacy();
   reset_election_timer();
   leader_.reset();
   if (!membership().is_voter(config_.id)) return;
@@ -74,7 +74,7 @@
   request_votes(hard_state_.term, VoteRequest{log_.last(), transfer});
 }
 
-bool Node::election_is_over() const {
+bool Node::election_timed_out() const {
   return now_ >= election_deadline_;
 }
 
@@ -114,34 +114,34 @@
   rounds_.clear();
   round_ = 0;
   leader_since_ = now_;
-  follow_membership();
-  append_entry(Entry{0, 0, EntryKind::kTermOpening, {}, {}});
+  update_tracked_members();
+  append_entry(Entry{0, 0, EntryKind::kNoOp, {}, {}});
   next_heartbeat_ = now_ + config_.heartbeat_interval;
   begin_round();
   send_to_all(true);
 }
 
 void Node::handle(const Message& message, const PreVoteRequest& request) {
-  const bool would_be_newer = message.term > hard_state_.term;
-  const bool log_is_recent = request.last >= log_.last();
-  const bool granted = would_be_newer && log_is_recent && !heard_from_leader_recently();
+  const bool term_is_newer = message.term > hard_state_.term;
+  const bool log_is_up_to_date = request.last >= log_.last();
+  const bool granted = term_is_newer && log_is_up_to_date && !has_recent_leader_contact();
   // A refusal carries this replica's own term, so that a candidate of an older term adopts it.
   send_with_term(message.from, granted ? message.term : hard_state_.term, PreVoteReply{granted});
 }
 
 void Node::handle(const Message& message, const PreVoteReply& reply) {
-  if (role_ != Role::kPreCandidate || election_is_over()) return;
+  if (role_ != Role::kPreCandidate || election_timed_out()) return;
   if (reply.granted && message.term != hard_state_.term + 1) return;
   votes_[message.from] = reply.granted;
   count_votes();
 }
 
 void Node::handle(const Message& message, const VoteRequest& request) {
-  const bool free_to_vote = hard_state_.voted_for.empty() || hard_state_.voted_for == message.from;
-  const bool log_is_recent = request.last >= log_.last();
+  const bool may_vote = hard_state_.voted_for.empty() || hard_state_.voted_for == message.from;
+  const bool log_is_up_to_date = request.last >= log_.last();
   // accept_term checks this for newer terms only; this replica may have entered the term by another message.
-  const bool allowed = request.transfer || !heard_from_leader_recently();
-  const bool granted = allowed && free_to_vote && log_is_recent;
+  const bool allowed = request.transfer || !has_recent_leader_contact();
+  const bool granted = allowed && may_vote && log_is_up_to_date;
   if (granted) {
     become_follower(hard_state_.term, std::nullopt);
     hard_state_.voted_for = message.from;
@@ -150,7 +150,7 @@
 }
 
 void Node::handle(const Message& message, const VoteReply& reply) {
-  if (role_ != Role::kCandidate || election_is_over()) return;
+  if (role_ != Role::kCandidate || election_timed_out()) return;
   votes_[message.from] = reply.granted;
   count_votes();
 }
--- a/src/raft/node_follower.cpp
+++ b/src/raft/node_follower.cpp
@@ -5,7 +5,7 @@
 
 namespace pipitpond::raft {
 
-void Node::follow(const Message& message) {
+void Node::accept_leader(const Message& message) {
   if (role_ != Role::kFollower || leader_ != message.from) become_follower(message.term, message.from);
   last_leader_contact_ = now_;
   reset_election_timer();
@@ -13,8 +13,8 @@
 
 void Node::handle(const Message& message, const AppendRequest& request) {
   if (role_ == Role::kLeader) return;  // A term has only one leader; never overwrite this leader's log.
-  follow(message);
-  earlier_silence_.note(now_, request.silent);
+  accept_leader(message);
+  reported_contacts_.update(now_, request.silent);
   const auto previous = request.previous.index;
   if (previous < hard_state_.commit) {
     // Committed entries are in the log of every later leader, so both logs agree up to the commit index.
@@ -36,10 +36,10 @@
 
 void Node::handle(const Message& message, const SnapshotRequest& request) {
   if (role_ == Role::kLeader) return;
-  follow(message);
+  accept_leader(message);
   const auto& snapshot = request.snapshot;
-  const bool holds_it = log_.contains({snapshot.term, snapshot.index});
-  if (snapshot.index > hard_state_.commit && !holds_it) {
+  const bool has_snapshot_entry = log_.contains({snapshot.term, snapshot.index});
+  if (snapshot.index > hard_state_.commit && !has_snapshot_entry) {
     log_.restore(snapshot);
     snapshot_changed_ = true;
     restore_ = true;
--- a/src/raft/node_joining.cpp
+++ b/src/raft/node_joining.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// Endpoints kept from JoinReplies; more than a membership has members.
-constexpr std::size_t kMostNamedReplicas = 64;
+constexpr std::size_t kMaxSuggestedEndpoints = 64;
 /// In longest election timeouts: a member without contact with a leader for this time may have been removed.
-constexpr int kForgottenAfter = 4;
+constexpr int kPresumedRemovedTimeouts = 4;
 
 void add_once(std::vector<core::Endpoint>& endpoints, const core::Endpoint& endpoint) {
   if (std::find(endpoints.begin(), endpoints.end(), endpoint) == endpoints.end()) {
@@ -23,11 +23,11 @@
 bool Node::wants_to_join() const {
   const auto* self = membership().find(config_.id);
   if (self == nullptr) return true;
-  // It may have been removed while it was unreachable; then no replica sends it anything, not even that
-  // change.
-  const bool forgotten = config_.open_membership && role_ != Role::kLeader &&
-                         now_ - last_leader_contact_ >= kForgottenAfter * config_.election_timeout_max;
-  if (forgotten) return true;
+  // It may have been removed while it was unreachable; then it receives nothing, not even that change.
+  const bool presumed_removed =
+      config_.open_membership && role_ != Role::kLeader &&
+      now_ - last_leader_contact_ >= kPresumedRemovedTimeouts * config_.election_timeout_max;
+  if (presumed_removed) return true;
   return self->role == MemberRole::kLearner && !leader_.has_value();
 }
 
@@ -36,22 +36,22 @@
 }
 
 std::vector<core::Endpoint> Node::join_contacts() const {
-  std::vector<core::Endpoint> contacts;
+  std::vector<core::Endpoint> endpoints;
   for (const auto& member : membership().members) {
-    if (member.id != config_.id) add_once(contacts, member.internal);
+    if (member.id != config_.id) add_once(endpoints, member.internal);
   }
-  for (const auto& named : named_replicas_) add_once(contacts, named);
-  return contacts;
+  for (const auto& suggested : suggested_endpoints_) add_once(endpoints, suggested);
+  return endpoints;
 }
 
 void Node::handle(const Message& message, const JoinReply& reply) {
   if (!wants_to_join()) return;
   join_answer_ = JoinAnswer{message.from, reply.refusal, reply.leader, now_};
-  for (const auto& member : reply.members) add_once(named_replicas_, member.internal);
-  if (named_replicas_.size() <= kMostNamedReplicas) return;
-  const auto excess = named_replicas_.size() - kMostNamedReplicas;
-  named_replicas_.erase(named_replicas_.begin(),
-                        named_replicas_.begin() + static_cast<std::ptrdiff_t>(excess));
+  for (const auto& member : reply.members) add_once(suggested_endpoints_, member.internal);
+  if (suggested_endpoints_.size() <= kMaxSuggestedEndpoints) return;
+  const auto excess = suggested_endpoints_.size() - kMaxSuggestedEndpoints;
+  suggested_endpoints_.erase(suggested_endpoints_.begin(),
+                             suggested_endpoints_.begin() + static_cast<std::ptrdiff_t>(excess));
 }
 
 void Node::handle(const Message& message, const JoinRequest& request) {
@@ -68,13 +68,13 @@
   if (membership().find(joiner.id) != nullptr) return std::nullopt;
   if (may_change_membership().has_failure()) return JoinRefusal::kChangePending;
   const auto& members = membership().members;
-  const auto same_place = std::find_if(members.rbegin(), members.rend(), [&](const Member& member) {
+  const auto same_endpoint = std::find_if(members.rbegin(), members.rend(), [&](const Member& member) {
     return member.internal == joiner.internal;
   });
-  if (same_place == members.rend()) {
+  if (same_endpoint == members.rend()) {
     // Without open membership only operators add replicas at new endpoints.
     if (!config_.open_membership) return JoinRefusal::kNotAllowed;
-    admit_stranger(joiner);
+    admit_at_new_endpoint(joiner);
     return std::nullopt;
   }
   // A replica at the endpoint of an existing member replaces that member, provided that the member has been
@@ -82,21 +82,21 @@
   // answers several heartbeats in that time. A longer wait can outlast the term of a short-lived leader, and
   // if a second disk is lost meanwhile, no majority is left. An early admission is safe: the replica is a
   // learner, which counts in no majority, until it holds all committed entries.
-  if (same_place->id == config_.id) return JoinRefusal::kPlaceIsTaken;
-  if (silence_of(same_place->id) < config_.election_timeout_min) return JoinRefusal::kPlaceIsTaken;
-  const auto& known = *same_place;
+  if (same_endpoint->id == config_.id) return JoinRefusal::kPlaceIsTaken;
+  if (time_since_contact(same_endpoint->id) < config_.election_timeout_min) return JoinRefusal::kPlaceIsTaken;
+  const auto& existing = *same_endpoint;
   auto changed = membership();
-  const bool known_learns = known.role == MemberRole::kLearner;
-  if (known_learns) {
-    std::erase_if(changed.members, [&](const Member& member) { return member.id == known.id; });
+  const bool existing_is_learner = existing.role == MemberRole::kLearner;
+  if (existing_is_learner) {
+    std::erase_if(changed.members, [&](const Member& member) { return member.id == existing.id; });
   }
   changed.members.push_back(joiner);
   changed.members.back().role = MemberRole::kLearner;
-  changed.members.back().replaces = known_learns ? known.replaces : known.id;
-  changed.members.back().replaces_only_silent = known_learns && known.replaces_only_silent;
+  changed.members.back().replaces = existing_is_learner ? existing.replaces : existing.id;
+  changed.members.back().replaces_only_silent = existing_is_learner && existing.replaces_only_silent;
   const Member learner = changed.members.back();
   append_membership(std::move(changed));
-  note_decision(MembershipReason::kJoins, learner);
+  record_decision(MembershipReason::kJoins, learner);
   return std::nullopt;
 }
 
@@ -104,7 +104,7 @@
   const auto& members = membership().members;
   for (const auto& member : members) {
     const bool silent = member.role == MemberRole::kVoter && member.id != config_.id &&
-                        silence_of(member.id) >= config_.election_timeout_min;
+                        time_since_contact(member.id) >= config_.election_timeout_min;
     const bool replaced = std::any_of(members.begin(), members.end(),
                                       [&](const Member& other) { return other.replaces == member.id; });
     if (silent && !replaced) return member.id;
@@ -112,7 +112,7 @@
   return {};
 }
 
-void Node::admit_stranger(const Member& joiner) {
+void Node::admit_at_new_endpoint(const Member& joiner) {
   auto changed = membership();
   changed.members.push_back(joiner);
   changed.members.back().role = MemberRole::kLearner;
@@ -120,7 +120,7 @@
   changed.members.back().replaces_only_silent = !changed.members.back().replaces.empty();
   const Member learner = changed.members.back();
   append_membership(std::move(changed));
-  note_decision(MembershipReason::kJoins, learner);
+  record_decision(MembershipReason::kJoins, learner);
 }
 
 }  // namespace pipitpond::raft
--- a/src/raft/node_leader.cpp
+++ b/src/raft/node_leader.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// Heartbeat rounds whose start times are kept. A reply to an older round is no evidence of recent contact.
-constexpr std::size_t kRememberedRounds = 256;
-/// Unacknowledged entries per follower, in multiples of max_entries_per_append.
-constexpr std::size_t kWindowAppends = 4;
+constexpr std::size_t kMaxRecordedRounds = 256;
+/// Bound of unacknowledged entries per follower, in multiples of max_entries_per_append.
+constexpr std::size_t kMaxUnacknowledgedAppends = 4;
 /// How many times the interval between snapshots doubles while the member does not answer.
-constexpr int kSnapshotPauseDoublings = 3;
+constexpr int kMaxSnapshotRetryDoublings = 3;
 /// Fraction of the shortest election timeout for which a reply proves that there is no other leader. The rest
 /// allows for clock rates that are off by up to 5% each.
 constexpr int kLeaseNumerator = 9;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void Node::lead() {
+void Node::tick_leader() {
   if (config_.mechanisms.check_quorum) {
     const auto contact = quorum_contact(now_).value_or(leader_since_);
     if (now_ - std::max(contact, leader_since_) > config_.election_timeout_max) {
@@ -48,7 +48,7 @@
 void Node::begin_round() {
   ++round_;
   rounds_.push_back({round_, now_});
-  if (rounds_.size() > kRememberedRounds) rounds_.pop_front();
+  if (rounds_.size() > kMaxRecordedRounds) rounds_.pop_front();
 }
 
 void Node::send_to_all(bool heartbeat) {
@@ -57,8 +57,8 @@
 
 void Node::send_append(const core::ControlId& to, Progress& progress, bool heartbeat) {
   if (progress.state == ReplicationState::kSnapshot) {
-    const auto doublings = std::clamp(progress.snapshots_unanswered - 1, 0, kSnapshotPauseDoublings);
-    if (now_ - progress.snapshot_sent >= config_.snapshot_retry * (1 << doublings)) {
+    const auto doublings = std::clamp(progress.snapshots_unanswered - 1, 0, kMaxSnapshotRetryDoublings);
+    if (now_ - progress.snapshot_sent >= config_.snapshot_retry_interval * (1 << doublings)) {
       send_snapshot(to, progress);
     } else if (heartbeat) {
       // Keeps the follower from starting an election while the snapshot is in transit.
@@ -88,7 +88,7 @@
     heartbeat = false;
     if (!probing && !request.entries.empty()) {
       progress.next += request.entries.size();
-      progress.note_sent(progress.next - 1, size_of(request.entries));
+      progress.record_sent(progress.next - 1, size_of(request.entries));
     }
     progress.probe_sent = true;
     send(to, std::move(request));
@@ -101,14 +101,14 @@
 
 bool Node::may_send_entries(const Progress& progress) const {
   if (progress.state == ReplicationState::kProbe) return !progress.probe_sent;
-  const auto sent_ahead = progress.next - 1 - progress.match;
-  return sent_ahead < config_.max_entries_per_append * kWindowAppends &&
+  const auto unacknowledged = progress.next - 1 - progress.match;
+  return unacknowledged < config_.max_entries_per_append * kMaxUnacknowledgedAppends &&
          progress.unanswered_bytes < config_.max_bytes_per_append;
 }
 
 void Node::send_snapshot(const core::ControlId& to, Progress& progress) {
   progress.state = ReplicationState::kSnapshot;
-  progress.forget_unanswered();
+  progress.clear_unanswered();
   progress.snapshot_index = log_.snapshot().index;
   progress.snapshot_sent = now_;
   ++progress.snapshots_unanswered;
@@ -120,17 +120,17 @@
   const auto found = progress_.find(message.from);
   if (found == progress_.end()) return;
   auto& progress = found->second;
-  note_contact(progress, reply.round);
+  record_contact(progress, reply.round);
   if (!reply.matched) {
-    note_mismatch(message.from, progress, reply);
+    handle_mismatch(message.from, progress, reply);
     confirm_reads();
     return;
   }
   progress.match = std::max(progress.match, reply.match);
-  progress.note_arrived(progress.match);
-  const bool arrived =
+  progress.record_acknowledged(progress.match);
+  const bool can_replicate =
       progress.state != ReplicationState::kSnapshot || progress.match >= progress.snapshot_index;
-  if (arrived && progress.state != ReplicationState::kReplicate) {
+  if (can_replicate && progress.state != ReplicationState::kReplicate) {
     progress.state = ReplicationState::kReplicate;
     progress.next = progress.match + 1;
   }
@@ -141,7 +141,7 @@
   continue_transfer();
 }
 
-void Node::note_mismatch(const core::ControlId& to, Progress& progress, const AppendReply& reply) {
+void Node::handle_mismatch(const core::ControlId& to, Progress& progress, const AppendReply& reply) {
   if (progress.state == ReplicationState::kSnapshot) return;
   // Late reply: that prefix is known to match by now, or another index is being probed.
   if (reply.previous <= progress.match) return;
@@ -150,7 +150,7 @@
   send_append(to, progress, false);
 }
 
-void Node::note_contact(Progress& progress, Round round) {
+void Node::record_contact(Progress& progress, Round round) {
   progress.last_contact = now_;
   progress.snapshots_unanswered = 0;
   if (round <= progress.acknowledged_round) return;
@@ -175,8 +175,8 @@
   // later term could still overwrite it. It is committed together with an entry of the current term.
   if (config_.mechanisms.own_term_commit && log_.term_at(index) != hard_state_.term) return;
   commit_to(index);
-  commit_notice_wanted_ = true;
-  follow_membership();
+  commit_broadcast_pending_ = true;
+  update_tracked_members();
 }
 
 Round Node::quorum_round() const {
--- a/src/raft/node_membership.cpp
+++ b/src/raft/node_membership.cpp
@@ -12,10 +12,10 @@
 
 /// In longest election timeouts: how long a new leader counts silence from its election only, because live
 /// members have not answered it yet.
-constexpr int kTimeToAnswer = 2;
+constexpr int kNewLeaderGraceTimeouts = 2;
 /// In longest election timeouts: how long a voter must be silent before its replacement displaces it. A voter
 /// that is unreachable for a shorter time stays; one that returns later joins again.
-constexpr int kSilenceOfTheReplaced = 4;
+constexpr int kReplacementSilenceTimeouts = 4;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
     changed.members.back().role = MemberRole::kLearner;
     const Member learner = changed.members.back();
     const auto position = append_membership(std::move(changed));
-    note_decision(MembershipReason::kOperator, learner);
+    record_decision(MembershipReason::kOperator, learner);
     return position;
   }
   if (changed.find(id) == nullptr) {
@@ -70,7 +70,7 @@
   const Member removed = *changed.find(id);
   std::erase_if(changed.members, [&](const Member& member) { return member.id == id; });
   const auto position = append_membership(std::move(changed));
-  note_decision(MembershipReason::kOperator, removed);
+  record_decision(MembershipReason::kOperator, removed);
   return position;
 }
 
@@ -81,44 +81,45 @@
 std::size_t Node::voters_in_contact() const {
   const auto& members = membership().members;
   return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [this](const Member& member) {
-    return member.role == MemberRole::kVoter && silence_of(member.id) < config_.election_timeout_min;
+    return member.role == MemberRole::kVoter && time_since_contact(member.id) < config_.election_timeout_min;
   }));
 }
 
-core::Duration Node::silence_of(const core::ControlId& id) const {
+core::Duration Node::time_since_contact(const core::ControlId& id) const {
   if (id == config_.id) return core::Duration::zero();
   if (const auto contact = last_contact(id)) return now_ - *contact;
   const auto progress = progress_.find(id);
-  const bool came_in_this_reign =
-      progress != progress_.end() && progress->second.followed_since > leader_since_;
-  if (came_in_this_reign) return now_ - progress->second.followed_since;
+  const bool added_in_this_term =
+      progress != progress_.end() && progress->second.tracked_since > leader_since_;
+  if (added_in_this_term) return now_ - progress->second.tracked_since;
   // Live members need some time to answer a new leader.
-  const auto reign = now_ - leader_since_;
-  if (reign < kTimeToAnswer * config_.election_timeout_max) return reign;
-  return std::max(reign, now_ - earlier_silence_.last_heard(id));
+  const auto time_as_leader = now_ - leader_since_;
+  if (time_as_leader < kNewLeaderGraceTimeouts * config_.election_timeout_max) return time_as_leader;
+  return std::max(time_as_leader, now_ - reported_contacts_.last_contact_of(id));
 }
 
 std::vector<SilentMember> Node::silent_voters() const {
   std::vector<SilentMember> silent;
   for (const auto& member : membership().members) {
-    const auto silence = silence_of(member.id);
+    const auto silence = time_since_contact(member.id);
     if (member.role != MemberRole::kVoter || silence < config_.election_timeout_min) continue;
     silent.push_back({member.id, static_cast<std::uint32_t>(core::to_millis(silence))});
   }
   return silent;
 }
 
-void Node::note_decision(MembershipReason reason, const Member& member) {
+void Node::record_decision(MembershipReason reason, const Member& member) {
   const auto& silent = member.replaces.empty() ? member.id : member.replaces;
-  decisions_.push_back({reason, member, silence_of(silent), membership().voter_count(), voters_in_contact()});
+  decisions_.push_back(
+      {reason, member, time_since_contact(silent), membership().voter_count(), voters_in_contact()});
 }
 
-void Node::follow_membership() {
+void Node::update_tracked_members() {
   for (const auto& member : membership().members) {
     if (member.id == config_.id || progress_.count(member.id) > 0) continue;
     Progress progress;
     progress.next = log_.last_index() + 1;
-    progress.followed_since = now_;
+    progress.tracked_since = now_;
     progress_.emplace(member.id, progress);
   }
   if (membership_change_pending()) return;
@@ -135,11 +136,11 @@
 
 void Node::promote_or_remove() {
   if (may_change_membership().has_failure()) return;
-  if (promote_a_learner() || remove_a_replaced()) return;
-  remove_a_silent();
+  if (promote_learner() || remove_replaced_member()) return;
+  remove_silent_member();
 }
 
-bool Node::promote_a_learner() {
+bool Node::promote_learner() {
   for (const auto& member : membership().members) {
     if (member.role != MemberRole::kLearner) continue;
     const auto& progress = progress_[member.id];
@@ -154,38 +155,39 @@
     }
     const Member voter = *changed.find(member.id);
     append_membership(std::move(changed));
-    note_decision(MembershipReason::kCaughtUp, voter);
+    record_decision(MembershipReason::kCaughtUp, voter);
     return true;
   }
   return false;
 }
 
-bool Node::remove_a_replaced() {
+bool Node::remove_replaced_member() {
   for (const auto& member : membership().members) {
     const auto* replaced = membership().find(member.replaces);
     if (replaced == nullptr || replaced->id == config_.id || member.role != MemberRole::kVoter) continue;
-    const bool silent = silence_of(replaced->id) >= kSilenceOfTheReplaced * config_.election_timeout_max;
-    if (member.replaces_only_silent && !(silent && can_spare_one())) continue;
+    const bool silent =
+        time_since_contact(replaced->id) >= kReplacementSilenceTimeouts * config_.election_timeout_max;
+    if (member.replaces_only_silent && !(silent && can_remove_voter())) continue;
     remove_member(*replaced, MembershipReason::kReplaced);
     return true;
   }
   return false;
 }
 
-bool Node::remove_a_silent() {
+bool Node::remove_silent_member() {
   if (!config_.open_membership) return false;
-  const bool can_spare_a_voter = can_spare_one();
+  const bool may_remove_voter = can_remove_voter();
   for (const auto& member : membership().members) {
     const bool votes = member.role == MemberRole::kVoter;
-    if (votes && !can_spare_a_voter) continue;
-    if (silence_of(member.id) < config_.remove_silent_after) continue;
+    if (votes && !may_remove_voter) continue;
+    if (time_since_contact(member.id) < config_.remove_silent_after) continue;
     remove_member(member, MembershipReason::kSilent);
     return true;
   }
   return false;
 }
 
-bool Node::can_spare_one() const {
+bool Node::can_remove_voter() const {
   // The remaining voters must keep a majority in contact even if one more of them fails.
   const std::size_t left = membership().voter_count() - 1;
   return left >= config_.least_voters && voters_in_contact() > left / 2 + 1;
@@ -200,7 +202,7 @@
     member.replaces_only_silent = false;
   }
   append_membership(std::move(changed));
-  note_decision(reason, removed);
+  record_decision(reason, removed);
 }
 
 core::Result<void> Node::transfer_leadership(core::Instant now) {
--- a/src/raft/progress.hpp
+++ b/src/raft/progress.hpp
@@ -37,17 +37,17 @@
   /// When `acknowledged_round` was sent; empty: no round answered since this leader was elected.
   std::optional<core::Instant> acknowledged_sent;
   std::optional<core::Instant> last_contact;  ///< When the last reply arrived.
-  core::Instant followed_since{};  ///< When tracking began: at the election or when the member was added.
+  core::Instant tracked_since{};  ///< When tracking began: at the election or when the member was added.
   /// Learner: its log has reached the length that the leader's log had at that time.
   bool caught_up = false;
 
   /// Records an append that was sent without waiting for earlier replies. `bytes`: size of its entries.
-  void note_sent(Index last, std::size_t bytes) {
+  void record_sent(Index last, std::size_t bytes) {
     unanswered.push_back({last, bytes});
     unanswered_bytes += bytes;
   }
   /// Records that the member holds all entries up to `index`.
-  void note_arrived(Index index) {
+  void record_acknowledged(Index index) {
     while (!unanswered.empty() && unanswered.front().last <= index) {
       unanswered_bytes -= unanswered.front().bytes;
       unanswered.pop_front();
@@ -58,9 +58,9 @@
     state = ReplicationState::kProbe;
     next = first;
     probe_sent = false;
-    forget_unanswered();
+    clear_unanswered();
   }
-  void forget_unanswered() {
+  void clear_unanswered() {
     unanswered.clear();
     unanswered_bytes = 0;
   }
--- a/src/raft/read_queue.hpp
+++ b/src/raft/read_queue.hpp
@@ -25,13 +25,13 @@
   std::vector<ReadResult> fail_all();
 
  private:
-  struct Waiting {
+  struct PendingRead {
     ReadToken token = 0;
     std::optional<Round> round = std::nullopt;
     Index index = 0;
   };
 
-  std::deque<Waiting> reads_;
+  std::deque<PendingRead> reads_;
 };
 
 }  // namespace pipitpond::raft
--- a/src/raft/silence.hpp
+++ b/src/raft/silence.hpp
@@ -28,14 +28,14 @@
 /// The last report about silent members that a replica has received, or made when it stepped down as leader.
 /// Message delay makes a silence look shorter. A member that fell silent after the last report counts as
 /// silent since that report.
-class EarlierSilence {
+class ReportedContacts {
  public:
-  /// Until the first report, all members count as heard at `start`.
-  explicit EarlierSilence(core::Instant start) : told_at_(start) {}
+  /// Until the first report, all members count as last contacted at `start`.
+  explicit ReportedContacts(core::Instant start) : reported_at_(start) {}
 
   /// Records the report of a leader that at `now` receives replies from all members but `silent`.
-  void note(core::Instant now, const std::vector<SilentMember>& silent) {
-    told_at_ = now;
+  void update(core::Instant now, const std::vector<SilentMember>& silent) {
+    reported_at_ = now;
     silent_since_.clear();
     for (const auto& member : silent) {
       silent_since_[member.id] = now - std::chrono::milliseconds(member.silent_ms);
@@ -43,13 +43,13 @@
   }
 
   /// When a leader last received a reply from this member, as far as known.
-  [[nodiscard]] core::Instant last_heard(const core::ControlId& id) const {
+  [[nodiscard]] core::Instant last_contact_of(const core::ControlId& id) const {
     const auto silent = silent_since_.find(id);
-    return silent == silent_since_.end() ? told_at_ : silent->second;
+    return silent == silent_since_.end() ? reported_at_ : silent->second;
   }
 
  private:
-  core::Instant told_at_;
+  core::Instant reported_at_;
   std::map<core::ControlId, core::Instant> silent_since_;
 };
 
--- a/src/raft/types.hpp
+++ b/src/raft/types.hpp
@@ -55,9 +55,9 @@
 
 /// Type of a log entry.
 enum class EntryKind : std::uint8_t {
-  kTermOpening,  ///< No-op that a new leader appends; committing it also commits all earlier entries.
-  kCommand,      ///< Command for the replicated state machine.
-  kMembership,   ///< New Membership; takes effect when it is appended, before it is committed.
+  kNoOp,        ///< No-op that a new leader appends; committing it also commits all earlier entries.
+  kCommand,     ///< Command for the replicated state machine.
+  kMembership,  ///< New Membership; takes effect when it is appended, before it is committed.
 };
 
 /// One entry of the replicated log.
--- a/src/storage/file_disk.cpp
+++ b/src/storage/file_disk.cpp
@@ -20,11 +20,11 @@
 
 namespace {
 
-constexpr const char* kLockName = "lock";
+constexpr const char* kLockFile = "lock";
 constexpr mode_t kFileMode = 0640;
-constexpr std::size_t kReadBytes = 65536;
+constexpr std::size_t kReadBufferBytes = 65536;
 
-ErrorKind kind_of(int error) {
+ErrorKind error_kind_of(int error) {
   switch (error) {
     case ENOENT:
       return ErrorKind::kNotFound;
@@ -38,7 +38,7 @@
 
 auto failure(const std::string& what, const std::string& path) {
   const auto reason = std::error_code(errno, std::generic_category()).message();
-  return core::fail(kind_of(errno), "Can't " + what + " " + path + ": " + reason + ".",
+  return core::fail(error_kind_of(errno), "Can't " + what + " " + path + ": " + reason + ".",
                     "Check the disk, its free space and the folder's permissions, then restart.");
 }
 
@@ -85,7 +85,7 @@
   auto disk = std::unique_ptr<FileDisk>(new FileDisk(folder));
   disk->directory_ = FileHandle(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!disk->directory_.valid()) return failure("open", folder);
-  const auto lock_path = disk->path(kLockName);
+  const auto lock_path = disk->path(kLockFile);
   disk->lock_ = FileHandle(::open(lock_path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode));
   if (!disk->lock_.valid()) return failure("open", lock_path);
   if (::flock(disk->lock_.get(), LOCK_EX | LOCK_NB) != 0) {
@@ -100,7 +100,7 @@
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
     auto name = entry.path().filename().string();
-    if (entry.is_regular_file() && name != kLockName) names.push_back(std::move(name));
+    if (entry.is_regular_file() && name != kLockFile) names.push_back(std::move(name));
   }
   if (error) {
     errno = error.value();
@@ -114,7 +114,7 @@
   const FileHandle handle(::open(path(name).c_str(), O_RDONLY | O_CLOEXEC));
   if (!handle.valid()) return failure("open", path(name));
   std::string bytes;
-  std::array<char, kReadBytes> buffer{};
+  std::array<char, kReadBufferBytes> buffer{};
   for (;;) {
     const auto count = ::read(handle.get(), buffer.data(), buffer.size());
     if (count < 0 && errno == EINTR) continue;
@@ -124,8 +124,8 @@
   }
 }
 
-core::Result<int> FileDisk::writer(const std::string& name) {
-  auto& handle = writers_[name];
+core::Result<int> FileDisk::open_for_append(const std::string& name) {
+  auto& handle = append_handles_[name];
   if (!handle.valid()) {
     handle = FileHandle(::open(path(name).c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, kFileMode));
   }
@@ -134,7 +134,7 @@
 }
 
 core::Result<void> FileDisk::append(const std::string& name, std::string_view bytes) {
-  BOOST_OUTCOME_TRY(descriptor, writer(name));
+  BOOST_OUTCOME_TRY(descriptor, open_for_append(name));
   while (!bytes.empty()) {
     const auto count = ::write(descriptor, bytes.data(), bytes.size());
     if (count < 0 && errno == EINTR) continue;
@@ -145,25 +145,25 @@
 }
 
 core::Result<void> FileDisk::truncate(const std::string& name, std::uint64_t size) {
-  BOOST_OUTCOME_TRY(descriptor, writer(name));
+  BOOST_OUTCOME_TRY(descriptor, open_for_append(name));
   if (::ftruncate(descriptor, static_cast<off_t>(size)) != 0) return failure("truncate", path(name));
   return core::outcome::success();
 }
 
 core::Result<void> FileDisk::sync(const std::string& name) {
-  BOOST_OUTCOME_TRY(descriptor, writer(name));
+  BOOST_OUTCOME_TRY(descriptor, open_for_append(name));
   return sync_descriptor(descriptor, path(name));
 }
 
 core::Result<void> FileDisk::rename(const std::string& from, const std::string& to) {
-  writers_.erase(from);
-  writers_.erase(to);
+  append_handles_.erase(from);
+  append_handles_.erase(to);
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) return failure("rename", path(from));
   return core::outcome::success();
 }
 
 core::Result<void> FileDisk::remove(const std::string& name) {
-  writers_.erase(name);
+  append_handles_.erase(name);
   if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) return failure("remove", path(name));
   return core::outcome::success();
 }
--- a/src/storage/file_disk.hpp
+++ b/src/storage/file_disk.hpp
@@ -47,12 +47,12 @@
   explicit FileDisk(std::string folder) : folder_(std::move(folder)) {}
 
   [[nodiscard]] std::string path(const std::string& name) const { return folder_ + "/" + name; }
-  core::Result<int> writer(const std::string& name);
+  core::Result<int> open_for_append(const std::string& name);
 
   std::string folder_;
   FileHandle directory_;
   FileHandle lock_;
-  std::map<std::string, FileHandle> writers_;  ///< Open descriptors of files that were written to, by name.
+  std::map<std::string, FileHandle> append_handles_;  ///< Files that are open for appending, by name.
 };
 
 }  // namespace pipitpond::storage
--- a/src/storage/frame.cpp
+++ b/src/storage/frame.cpp
@@ -15,14 +15,14 @@
 constexpr int kBitsPerByte = 8;
 
 template <typename Number>
-void put(std::string& out, Number number) {
+void append_little_endian(std::string& out, Number number) {
   for (std::size_t byte = 0; byte < sizeof(Number); ++byte) {
     out.push_back(static_cast<char>(number >> (kBitsPerByte * byte)));
   }
 }
 
 template <typename Number>
-Number get(std::string_view bytes) {
+Number read_little_endian(std::string_view bytes) {
   Number number = 0;
   for (std::size_t byte = 0; byte < sizeof(Number); ++byte) {
     number |= static_cast<Number>(static_cast<unsigned char>(bytes[byte])) << (kBitsPerByte * byte);
@@ -38,10 +38,10 @@
 /// The payload of the frame at the start of `bytes`, if it is intact.
 std::optional<std::string_view> intact_frame(std::string_view bytes) {
   if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic) return std::nullopt;
-  const auto length = get<std::uint32_t>(bytes.substr(4));
+  const auto length = read_little_endian<std::uint32_t>(bytes.substr(4));
   if (bytes.size() - kHeaderBytes < length) return std::nullopt;
   const auto payload = bytes.substr(kHeaderBytes, length);
-  if (get<std::uint64_t>(bytes.substr(8)) != checksum(payload)) return std::nullopt;
+  if (read_little_endian<std::uint64_t>(bytes.substr(8)) != checksum(payload)) return std::nullopt;
   return payload;
 }
 
@@ -56,8 +56,8 @@
 
 std::string encode_frame(std::string_view payload) {
   std::string frame(kMagic);
-  put(frame, static_cast<std::uint32_t>(payload.size()));
-  put(frame, checksum(payload));
+  append_little_endian(frame, static_cast<std::uint32_t>(payload.size()));
+  append_little_endian(frame, checksum(payload));
   frame += payload;
   return frame;
 }
--- a/src/storage/identity.cpp
+++ b/src/storage/identity.cpp
@@ -10,13 +10,13 @@
 namespace pipitpond::storage {
 
 core::Result<std::optional<Identity>> read_identity(Disk& disk) {
-  auto bytes = read_durable_file(disk, kIdentityName);
+  auto bytes = read_durable_file(disk, kIdentityFile);
   if (bytes.has_failure()) {
     if (bytes.error().kind == core::ErrorKind::kNotFound) return std::optional<Identity>();
     return std::move(bytes).as_failure();
   }
   auto identity = wire::unpack<Identity>(bytes.value());
-  if (identity.has_failure()) return core::outcome::failure(corrupt(kIdentityName, "an unreadable record"));
+  if (identity.has_failure()) return core::outcome::failure(corrupt(kIdentityFile, "an unreadable record"));
   return std::optional<Identity>(std::move(identity.value()));
 }
 
--- a/src/storage/raft_storage.cpp
+++ b/src/storage/raft_storage.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::string_view kSegmentPrefix = "log-";
 constexpr std::string_view kSnapshotPrefix = "snapshot-";
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 
 /// Payload of one frame of the log.
 struct LogRecord {
@@ -38,13 +38,14 @@
 }
 
 /// Sorted hexadecimal numbers of the files whose names are `prefix` and a number.
-std::vector<std::uint64_t> numbers_of(const std::vector<std::string>& names, std::string_view prefix) {
+std::vector<std::uint64_t> parse_file_numbers(const std::vector<std::string>& names,
+                                              std::string_view prefix) {
   std::vector<std::uint64_t> numbers;
   for (const auto& name : names) {
     if (name.compare(0, prefix.size(), prefix) != 0) continue;
     const char* end = name.data() + name.size();
     std::uint64_t number = 0;
-    const auto [stop, error] = std::from_chars(name.data() + prefix.size(), end, number, kHexadecimal);
+    const auto [stop, error] = std::from_chars(name.data() + prefix.size(), end, number, kHexBase);
     if (error == std::errc() && stop == end) numbers.push_back(number);
   }
   std::sort(numbers.begin(), numbers.end());
@@ -59,7 +60,7 @@
   }
 }
 
-bool contiguous(const std::vector<raft::Entry>& entries) {
+bool is_contiguous(const std::vector<raft::Entry>& entries) {
   const auto gap = std::adjacent_find(entries.begin(), entries.end(),
                                       [](const auto& a, const auto& b) { return b.index != a.index + 1; });
   return gap == entries.end();
@@ -86,7 +87,7 @@
     BOOST_OUTCOME_TRYV(storage.save_snapshot(state.snapshot));
   }
   BOOST_OUTCOME_TRYV(storage.begin_segment());
-  return write_durable_file(disk, kIdentityName, wire::pack(identity));
+  return write_durable_file(disk, kIdentityFile, wire::pack(identity));
 }
 
 core::Result<RaftStorage> RaftStorage::open(Disk& disk, std::size_t segment_bytes) {
@@ -100,28 +101,28 @@
   BOOST_OUTCOME_TRY(names, disk.list());
   BOOST_OUTCOME_TRYV(storage.load_snapshot(names));
   BOOST_OUTCOME_TRYV(storage.load_segments(names));
-  BOOST_OUTCOME_TRYV(storage.settle_log());
+  BOOST_OUTCOME_TRYV(storage.reconcile_log_with_snapshot());
   if (storage.segments_.back().bytes == 0) {
-    BOOST_OUTCOME_TRYV(storage.open_segment());
+    BOOST_OUTCOME_TRYV(storage.write_segment_header());
   }
-  BOOST_OUTCOME_TRYV(storage.remove_covered());
+  BOOST_OUTCOME_TRYV(storage.remove_obsolete_files());
   return storage;
 }
 
 core::Result<void> RaftStorage::load_snapshot(const std::vector<std::string>& names) {
-  const auto indexes = numbers_of(names, kSnapshotPrefix);
+  const auto indexes = parse_file_numbers(names, kSnapshotPrefix);
   if (indexes.empty()) return core::outcome::success();
   const auto name = snapshot_name(indexes.back());
   BOOST_OUTCOME_TRY(bytes, read_durable_file(*disk_, name));
   auto snapshot = wire::unpack<raft::Snapshot>(bytes);
   if (snapshot.has_failure()) return core::outcome::failure(corrupt(name, "an unreadable record"));
-  state_.snapshot = std::move(snapshot.value());
-  snapshot_index_ = state_.snapshot.index;
+  loaded_state_.snapshot = std::move(snapshot.value());
+  snapshot_index_ = loaded_state_.snapshot.index;
   return core::outcome::success();
 }
 
 core::Result<void> RaftStorage::load_segments(const std::vector<std::string>& names) {
-  const auto numbers = numbers_of(names, kSegmentPrefix);
+  const auto numbers = parse_file_numbers(names, kSegmentPrefix);
   if (numbers.empty()) return core::outcome::failure(corrupt("log", "no segments"));
   if (numbers.back() - numbers.front() + 1 != numbers.size()) {
     return core::outcome::failure(corrupt("log", "a missing segment"));
@@ -149,7 +150,7 @@
     const auto record = wire::unpack<LogRecord>(payload);
     if (record.has_failure()) return core::outcome::failure(corrupt(name, "an unreadable record"));
     if (record.value().hard_state) hard_state_ = *record.value().hard_state;
-    replay(record.value(), state_.entries);
+    replay(record.value(), loaded_state_.entries);
     for (const auto& entry : record.value().entries) {
       segment.last_index = std::max(segment.last_index, entry.index);
     }
@@ -158,23 +159,24 @@
   return core::outcome::success();
 }
 
-core::Result<void> RaftStorage::settle_log() {
-  auto& entries = state_.entries;
-  if (!contiguous(entries) || (!entries.empty() && entries.front().index > snapshot_index_ + 1)) {
+core::Result<void> RaftStorage::reconcile_log_with_snapshot() {
+  auto& entries = loaded_state_.entries;
+  if (!is_contiguous(entries) || (!entries.empty() && entries.front().index > snapshot_index_ + 1)) {
     return core::outcome::failure(corrupt("log", "missing entries"));
   }
   const auto last_term = entries.empty() ? 0 : entries.back().term;
-  const auto least_term = std::max(state_.snapshot.term, last_term);
-  if (hard_state_.term < least_term) {
+  const auto min_term = std::max(loaded_state_.snapshot.term, last_term);
+  if (hard_state_.term < min_term) {
     // A crash hit between the snapshot and the frame of one Ready. Nothing was acknowledged in the new term.
-    hard_state_ = raft::HardState{least_term, {}, hard_state_.commit};
+    hard_state_ = raft::HardState{min_term, {}, hard_state_.commit};
   }
-  state_.hard_state = hard_state_;
+  loaded_state_.hard_state = hard_state_;
   if (entries.empty() || snapshot_index_ == 0) return core::outcome::success();
-  const bool holds_snapshot = entries.front().index == snapshot_index_ + 1 ||
-                              (entries.back().index >= snapshot_index_ &&
-                               entries[snapshot_index_ - entries.front().index].term == state_.snapshot.term);
-  if (holds_snapshot) return core::outcome::success();
+  const bool contains_snapshot =
+      entries.front().index == snapshot_index_ + 1 ||
+      (entries.back().index >= snapshot_index_ &&
+       entries[snapshot_index_ - entries.front().index].term == loaded_state_.snapshot.term);
+  if (contains_snapshot) return core::outcome::success();
   // The snapshot came from a leader and replaces a log that does not contain its last entry. The reset record
   // is written before new entries, so that they are not replayed as a continuation of the old ones.
   entries.clear();
@@ -192,9 +194,9 @@
     BOOST_OUTCOME_TRYV(append_frame(wire::pack(LogRecord{ready.hard_state, ready.reset_log, ready.entries})));
   }
   if (ready.snapshot || segments_.back().bytes > segment_bytes_) {
-    BOOST_OUTCOME_TRYV(begin_segment_if_there_is_room());
+    BOOST_OUTCOME_TRYV(begin_segment_if_space());
   }
-  if (ready.snapshot) return remove_covered();
+  if (ready.snapshot) return remove_obsolete_files();
   return core::outcome::success();
 }
 
@@ -209,10 +211,10 @@
 core::Result<void> RaftStorage::begin_segment() {
   const auto number = segments_.empty() ? 1 : segments_.back().number + 1;
   segments_.push_back(Segment{number, 0, 0});
-  return open_segment();
+  return write_segment_header();
 }
 
-core::Result<void> RaftStorage::begin_segment_if_there_is_room() {
+core::Result<void> RaftStorage::begin_segment_if_space() {
   auto begun = begin_segment();
   if (begun || begun.error().kind != ErrorKind::kNoCapacity) return begun;
   BOOST_OUTCOME_TRYV(disk_->remove(segment_name(segments_.back().number)));
@@ -222,7 +224,7 @@
   return core::outcome::success();
 }
 
-core::Result<void> RaftStorage::open_segment() {
+core::Result<void> RaftStorage::write_segment_header() {
   // Each segment starts with the hard state, so that older segments can be removed.
   BOOST_OUTCOME_TRYV(append_frame(wire::pack(LogRecord{hard_state_, false, {}})));
   return disk_->sync_directory();
@@ -235,7 +237,7 @@
   auto written = disk_->append(name, frame);
   if (!written) {
     if (written.error().kind == ErrorKind::kNoCapacity) {
-      BOOST_OUTCOME_TRYV(cut_off_partial_frame());
+      BOOST_OUTCOME_TRYV(truncate_partial_frame());
     }
     return written;
   }
@@ -246,12 +248,12 @@
 
 /// A partial frame followed by another frame would count as corruption. The truncation needs no sync: until
 /// the next frame is synced, a crash can leave only a torn tail after the last synced frame.
-core::Result<void> RaftStorage::cut_off_partial_frame() {
+core::Result<void> RaftStorage::truncate_partial_frame() {
   const auto& segment = segments_.back();
   return disk_->truncate(segment_name(segment.number), segment.bytes);
 }
 
-core::Result<void> RaftStorage::remove_covered() {
+core::Result<void> RaftStorage::remove_obsolete_files() {
   // Oldest first: an older segment may hold entries that a later segment replaces.
   while (segments_.size() > 1 && segments_.front().last_index <= snapshot_index_) {
     BOOST_OUTCOME_TRYV(disk_->remove(segment_name(segments_.front().number)));
@@ -260,7 +262,7 @@
     segments_.erase(segments_.begin());
   }
   BOOST_OUTCOME_TRY(names, disk_->list());
-  for (const auto index : numbers_of(names, kSnapshotPrefix)) {
+  for (const auto index : parse_file_numbers(names, kSnapshotPrefix)) {
     if (index < snapshot_index_) {
       BOOST_OUTCOME_TRYV(disk_->remove(snapshot_name(index)));
     }
--- a/src/storage/raft_storage.hpp
+++ b/src/storage/raft_storage.hpp
@@ -19,7 +19,7 @@
 
 namespace pipitpond::storage {
 
-inline constexpr const char* kIdentityName = "identity";
+inline constexpr const char* kIdentityFile = "identity";
 /// A new segment is started when the current one is larger than this.
 inline constexpr std::size_t kSegmentBytes = std::size_t{4} * 1024 * 1024;
 
@@ -35,7 +35,7 @@
   static core::Result<RaftStorage> open(Disk& disk, std::size_t segment_bytes = kSegmentBytes);
 
   /// Moves out the state that was on the disk when it was opened; call at most once.
-  raft::PersistedState take_state() { return std::move(state_); }
+  raft::PersistedState take_state() { return std::move(loaded_state_); }
 
   /// Does step 1 of raft::Ready; durable on return. Fails with kNoCapacity when the disk is full: the Ready
   /// is not durable, and the same one may be passed again. After any other error the process must stop.
@@ -56,15 +56,15 @@
   core::Result<void> load_snapshot(const std::vector<std::string>& names);
   core::Result<void> load_segments(const std::vector<std::string>& names);
   core::Result<void> load_segment(std::uint64_t number, bool last);
-  core::Result<void> settle_log();
+  core::Result<void> reconcile_log_with_snapshot();
   core::Result<void> save_snapshot(const raft::Snapshot& snapshot);
   core::Result<void> begin_segment();
   /// Keeps writing to the current segment if the disk has no room for a new one.
-  core::Result<void> begin_segment_if_there_is_room();
-  core::Result<void> open_segment();
+  core::Result<void> begin_segment_if_space();
+  core::Result<void> write_segment_header();
   core::Result<void> append_frame(const std::string& payload);
-  core::Result<void> cut_off_partial_frame();
-  core::Result<void> remove_covered();
+  core::Result<void> truncate_partial_frame();
+  core::Result<void> remove_obsolete_files();
 
   Disk* disk_;
   std::size_t segment_bytes_;
@@ -72,7 +72,7 @@
   raft::HardState hard_state_;
   raft::Index snapshot_index_ = 0;
   std::uint64_t bytes_written_ = 0;
-  raft::PersistedState state_;
+  raft::PersistedState loaded_state_;
 };
 
 }  // namespace pipitpond::storage
--- a/tests/raft/cluster.hpp
+++ b/tests/raft/cluster.hpp
@@ -1,4 +1,4 @@
-// Test cluster of raft::Nodes on virtual time. The network loses messages only of replicas that are cut off.
+// Test cluster of raft::Nodes on virtual time. The network loses messages only of isolated replicas.
 #pragma once
 
 #include <algorithm>
@@ -37,7 +37,7 @@
 /// One replica with its durable state, the commands that it has applied and the results of its reads.
 struct Replica {
   Node node;
-  PersistedState disk;
+  PersistedState persisted;
   std::vector<std::string> applied;
   std::vector<ReadResult> reads;
 };
@@ -49,41 +49,41 @@
     for (int number = 1; number <= count; ++number) start(replica(number), bootstrap(voters(count), ""));
   }
 
-  void start(const core::ControlId& id, PersistedState disk) {
+  void start(const core::ControlId& id, PersistedState persisted) {
     Config config;
     config.id = id;
     config.cluster = "test";
     config.trailing_entries = 2;
     config.open_membership = open_membership_;
-    config.least_voters = least_voters_;
+    config.least_voters = min_voters_;
     config.mechanisms = mechanisms_;
     const auto seed = ++seed_;
-    auto applied = split(disk.snapshot.state);
+    auto applied = parse_commands(persisted.snapshot.state);
     replicas_.erase(id);
-    replicas_.emplace(id, Replica{Node(config, disk, seed, now), disk, std::move(applied), {}});
+    replicas_.emplace(id, Replica{Node(config, persisted, seed, now), persisted, std::move(applied), {}});
   }
 
   void stop(const core::ControlId& id) { replicas_.erase(id); }
-  void restart(const core::ControlId& id) { start(id, replicas_.at(id).disk); }
+  void restart(const core::ControlId& id) { start(id, replicas_.at(id).persisted); }
   Replica& at(const core::ControlId& id) { return replicas_.at(id); }
   Node& node(const core::ControlId& id) { return replicas_.at(id).node; }
 
-  void cut(const core::ControlId& id) { cut_.insert(id); }
-  [[nodiscard]] bool is_cut(const core::ControlId& id) const { return cut_.count(id) > 0; }
+  void isolate(const core::ControlId& id) { isolated_.insert(id); }
+  [[nodiscard]] bool is_isolated(const core::ControlId& id) const { return isolated_.count(id) > 0; }
   /// Changes Config::least_voters of all replicas and restarts them.
-  void set_least_voters(std::size_t least_voters) {
-    least_voters_ = least_voters;
+  void set_min_voters(std::size_t least_voters) {
+    min_voters_ = least_voters;
     std::vector<core::ControlId> all;
     for (const auto& [id, each] : replicas_) all.push_back(id);
     for (const auto& id : all) restart(id);
   }
-  void heal(const core::ControlId& id) { cut_.erase(id); }
+  void reconnect(const core::ControlId& id) { isolated_.erase(id); }
 
   /// Advances the time in steps of 10 ms until the condition holds; false if it does not within `limit`.
   bool run_until(const std::function<bool()>& condition, milliseconds limit = milliseconds(10000)) {
     const auto end = now + limit;
     while (now < end) {
-      settle();
+      run_until_idle();
       if (condition()) return true;
       now += milliseconds(10);
       for (auto& [id, each] : replicas_) {
@@ -98,46 +98,46 @@
 
   /// Delivers a message that names no receiver to every replica at an endpoint. A replica that rejoined after
   /// it lost its disk (id with "#") has the endpoint of its earlier id.
-  void send_to_place(const core::Endpoint& place, const Message& message) {
+  void send_to_endpoint(const core::Endpoint& endpoint, const Message& message) {
     for (auto& [id, each] : replicas_) {
       const auto base = core::ControlId(id.value().substr(0, id.value().find('#')));
-      if (member(base).internal == place && cut_.count(id) + cut_.count(message.from) == 0) {
+      if (member(base).internal == endpoint && isolated_.count(id) + isolated_.count(message.from) == 0) {
         each.node.step(now, message);
       }
     }
   }
 
-  /// The leader of the greatest term among replicas that are not cut off; null if there is none.
+  /// The leader of the greatest term among replicas that are not isolated; null if there is none.
   Node* leader() {
     Node* best = nullptr;
     for (auto& [id, each] : replicas_) {
-      if (each.node.role() != Role::kLeader || cut_.count(id) > 0) continue;
+      if (each.node.role() != Role::kLeader || isolated_.count(id) > 0) continue;
       if (best == nullptr || each.node.term() > best->term()) best = &each.node;
     }
     return best;
   }
-  Node& elect() {
+  Node& await_leader() {
     run_until([this] { return leader() != nullptr && leader()->leads_with_committed_term(); });
     return *leader();
   }
-  /// Proposes a command at the leader and waits until every replica that is not cut off has applied it.
+  /// Proposes a command at the leader and waits until every replica that is not isolated has applied it.
   bool commit(const std::string& command) {
-    if (elect().propose(now, command).has_failure()) return false;
+    if (await_leader().propose(now, command).has_failure()) return false;
     return run_until([&] {
       return std::all_of(replicas_.begin(), replicas_.end(), [&](const auto& each) {
         const auto& applied = each.second.applied;
-        return cut_.count(each.first) > 0 || std::count(applied.begin(), applied.end(), command) > 0;
+        return isolated_.count(each.first) > 0 || std::count(applied.begin(), applied.end(), command) > 0;
       });
     });
   }
 
   core::Instant now{std::chrono::hours(1)};
-  std::size_t entry_bytes_lost = 0;           ///< Size of the entries and snapshot states in lost messages.
-  std::vector<core::Instant> snapshots_lost;  ///< Times at which snapshots were lost.
-  bool loses_snapshots = false;  ///< Lose all snapshots, not only those of replicas that are cut off.
+  std::size_t dropped_entry_bytes = 0;  ///< Size of the entries and snapshot states in lost messages.
+  std::vector<core::Instant> snapshot_drop_times;  ///< Times at which snapshots were lost.
+  bool drop_snapshots = false;  ///< Lose all snapshots, not only those of isolated replicas.
 
  private:
-  static std::vector<std::string> split(const std::string& state) {
+  static std::vector<std::string> parse_commands(const std::string& state) {
     std::vector<std::string> words;
     std::string word;
     for (const char letter : state) {
@@ -150,35 +150,35 @@
     return words;
   }
 
-  void settle() {
+  void run_until_idle() {
     bool busy = true;
     while (busy) {
       busy = false;
       for (auto& [id, each] : replicas_) {
         while (each.node.has_ready()) {
-          drive(each);
+          process_ready(each);
           busy = true;
         }
       }
       while (!network_.empty()) {
-        deliver();
+        deliver_next_message();
         busy = true;
       }
     }
   }
 
-  void drive(Replica& each) {
+  void process_ready(Replica& each) {
     auto ready = each.node.take_ready();
-    auto& disk = each.disk;
-    if (ready.hard_state) disk.hard_state = *ready.hard_state;
-    if (ready.snapshot) disk.snapshot = *ready.snapshot;
-    if (ready.reset_log) disk.entries.clear();
+    auto& persisted = each.persisted;
+    if (ready.hard_state) persisted.hard_state = *ready.hard_state;
+    if (ready.snapshot) persisted.snapshot = *ready.snapshot;
+    if (ready.reset_log) persisted.entries.clear();
     for (auto& entry : ready.entries) {
-      std::erase_if(disk.entries, [&](const Entry& old) { return old.index >= entry.index; });
-      disk.entries.push_back(entry);
+      std::erase_if(persisted.entries, [&](const Entry& old) { return old.index >= entry.index; });
+      persisted.entries.push_back(entry);
     }
     for (auto& message : ready.messages) network_.push_back(std::move(message));
-    if (ready.restore) each.applied = split(ready.snapshot->state);
+    if (ready.restore) each.applied = parse_commands(ready.snapshot->state);
     for (const auto& entry : ready.committed) {
       if (entry.kind == EntryKind::kCommand) each.applied.push_back(entry.command);
     }
@@ -186,16 +186,16 @@
     each.node.advance(now);
   }
 
-  void deliver() {
+  void deliver_next_message() {
     auto message = std::move(network_.front());
     network_.pop_front();
-    const bool snapshot_is_lost = loses_snapshots && std::holds_alternative<SnapshotRequest>(message.body);
-    if (snapshot_is_lost || cut_.count(message.from) + cut_.count(message.to) > 0) {
+    const bool snapshot_dropped = drop_snapshots && std::holds_alternative<SnapshotRequest>(message.body);
+    if (snapshot_dropped || isolated_.count(message.from) + isolated_.count(message.to) > 0) {
       if (const auto* append = std::get_if<AppendRequest>(&message.body)) {
-        entry_bytes_lost += size_of(append->entries);
+        dropped_entry_bytes += size_of(append->entries);
       } else if (const auto* snapshot = std::get_if<SnapshotRequest>(&message.body)) {
-        snapshots_lost.push_back(now);
-        entry_bytes_lost += snapshot->snapshot.state.size();
+        snapshot_drop_times.push_back(now);
+        dropped_entry_bytes += snapshot->snapshot.state.size();
       }
       return;
     }
@@ -205,15 +205,15 @@
 
   std::map<core::ControlId, Replica> replicas_;
   std::deque<Message> network_;
-  std::set<core::ControlId> cut_;
+  std::set<core::ControlId> isolated_;
   std::uint64_t seed_ = 0;
   bool open_membership_ = false;
-  std::size_t least_voters_ = Config().least_voters;
+  std::size_t min_voters_ = Config().least_voters;
   Mechanisms mechanisms_;
 };
 
 /// Encodes a list of commands as a snapshot state.
-inline std::string joined(const std::vector<std::string>& commands) {
+inline std::string join_commands(const std::vector<std::string>& commands) {
   std::string state;
   for (const auto& command : commands) state += command + " ";
   return state;
--- a/tests/raft/joining_test.cpp
+++ b/tests/raft/joining_test.cpp
@@ -16,27 +16,27 @@
 using testing::member;
 using testing::replica;
 
-constexpr milliseconds kAskInterval{100};
-/// A leader that is in office for only 1 s must be able to let a replica join.
+constexpr milliseconds kJoinRequestInterval{100};
+/// A leader must be able to let a replica join within the 1 s that a short-lived leader stays.
 constexpr milliseconds kJoinLimit{1000};
 
 /// Sends join requests for one replica, like control::Joiner.
-class Asker {
+class JoinRequester {
  public:
-  Asker(Cluster& cluster, Member self, const std::vector<core::ControlId>& settings)
+  JoinRequester(Cluster& cluster, Member self, const std::vector<core::ControlId>& settings)
       : cluster_(cluster), self_(std::move(self)) {
-    for (const auto& named : settings) named_.insert(member(named).internal);
+    for (const auto& named : settings) configured_endpoints_.insert(member(named).internal);
   }
 
-  void ask_if_due() {
+  void request_join_if_due() {
     const Node& node = cluster_.node(self_.id);
-    if (cluster_.now < next_ || !node.wants_to_join()) return;
-    next_ = cluster_.now + kAskInterval;
+    if (cluster_.now < next_request_ || !node.wants_to_join()) return;
+    next_request_ = cluster_.now + kJoinRequestInterval;
     const auto request = node.join_request(self_);
-    std::set<core::Endpoint> asked = named_;
-    for (const auto& contact : node.join_contacts()) asked.insert(contact);
-    for (const auto& endpoint : asked) {
-      if (endpoint != self_.internal) cluster_.send_to_place(endpoint, request);
+    std::set<core::Endpoint> targets = configured_endpoints_;
+    for (const auto& endpoint : node.join_contacts()) targets.insert(endpoint);
+    for (const auto& endpoint : targets) {
+      if (endpoint != self_.internal) cluster_.send_to_endpoint(endpoint, request);
     }
   }
 
@@ -44,7 +44,7 @@
   bool joins_within(milliseconds limit) {
     return cluster_.run_until(
         [this] {
-          ask_if_due();
+          request_join_if_due();
           Node* leader = cluster_.leader();
           return leader != nullptr && leader->membership().is_voter(self_.id) &&
                  !leader->membership_change_pending();
@@ -55,8 +55,8 @@
  private:
   Cluster& cluster_;
   Member self_;
-  std::set<core::Endpoint> named_;
-  core::Instant next_{};
+  std::set<core::Endpoint> configured_endpoints_;
+  core::Instant next_request_{};
 };
 
 std::vector<core::ControlId> all_but(const core::ControlId& one, int count) {
@@ -78,12 +78,12 @@
   auto self = member(core::ControlId(lost.value() + "#2"), MemberRole::kLearner);
   self.internal = member(lost).internal;
   cluster.start(self.id, {});
-  EXPECT_TRUE(Asker(cluster, self, followers).joins_within(kJoinLimit));
+  EXPECT_TRUE(JoinRequester(cluster, self, followers).joins_within(kJoinLimit));
   EXPECT_EQ(cluster.leader()->config().id, leader);
   EXPECT_TRUE(cluster.run_until([&] { return cluster.leader()->membership().find(lost) == nullptr; }));
 }
 
-TEST(Joining, ANewcomerFindsTheLeaderThroughAReplicaThatWasRemoved) {
+TEST(Joining, NewReplicaFindsTheLeaderThroughARemovedReplica) {
   Cluster cluster(5, true);
   ASSERT_TRUE(cluster.commit("a"));
   const auto leader = cluster.leader()->config().id;
@@ -93,10 +93,11 @@
                   .has_value());
   cluster.run_for(milliseconds(100));
   cluster.start(replica(6), {});
-  EXPECT_TRUE(Asker(cluster, member(replica(6), MemberRole::kLearner), {removed}).joins_within(kJoinLimit));
+  EXPECT_TRUE(
+      JoinRequester(cluster, member(replica(6), MemberRole::kLearner), {removed}).joins_within(kJoinLimit));
 }
 
-TEST(Joining, ARemovedReplicaAsksTheMembersOfItsLogWhenItsSettingsNameNobodyThatLives) {
+TEST(Joining, RemovedReplicaAsksMembersOfItsLogWhenConfiguredReplicasAreDown) {
   Cluster cluster(5, true);
   ASSERT_TRUE(cluster.commit("a"));
   const auto leader = cluster.leader()->config().id;
@@ -105,49 +106,50 @@
                   ->propose_membership(cluster.now, {MembershipAction::kRemove, member(removed)})
                   .has_value());
   cluster.run_for(milliseconds(100));
-  EXPECT_TRUE(Asker(cluster, member(removed, MemberRole::kLearner), {replica(9)}).joins_within(kJoinLimit));
+  EXPECT_TRUE(
+      JoinRequester(cluster, member(removed, MemberRole::kLearner), {replica(9)}).joins_within(kJoinLimit));
 }
 
-TEST(Joining, WhoCannotLetANewcomerInSaysWhyAndWhoLeads) {
+TEST(Joining, JoinReplyGivesReasonAndLeader) {
   Cluster cluster(3, true);
   ASSERT_TRUE(cluster.commit("a"));
   const auto leader = cluster.leader()->config().id;
   const auto follower = all_but(leader, 3).front();
   cluster.start(replica(4), {});
   const auto request = cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner));
-  cluster.send_to_place(member(follower).internal, request);
+  cluster.send_to_endpoint(member(follower).internal, request);
   cluster.run_for(milliseconds(50));
-  const auto& answer = cluster.node(replica(4)).join_answer();
-  ASSERT_TRUE(answer.has_value());
-  EXPECT_EQ(answer->from, follower);
-  EXPECT_EQ(answer->refusal, JoinRefusal::kNotLeader);
-  EXPECT_EQ(answer->leader, leader);
+  const auto& reply = cluster.node(replica(4)).join_answer();
+  ASSERT_TRUE(reply.has_value());
+  EXPECT_EQ(reply->from, follower);
+  EXPECT_EQ(reply->refusal, JoinRefusal::kNotLeader);
+  EXPECT_EQ(reply->leader, leader);
   EXPECT_EQ(cluster.node(replica(4)).join_contacts().size(), 3U);
 }
 
-TEST(Joining, WithoutALeaderTheAnswerNamesNobody) {
+TEST(Joining, JoinReplyNamesNoLeaderWhenNoneIsKnown) {
   Cluster cluster(3, true);
-  const auto leader = cluster.elect().config().id;
+  const auto leader = cluster.await_leader().config().id;
   const auto others = all_but(leader, 3);
   cluster.stop(leader);
   cluster.stop(others[0]);
   cluster.run_for(milliseconds(1500));
   cluster.start(replica(4), {});
-  cluster.send_to_place(member(others[1]).internal,
-                        cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner)));
+  cluster.send_to_endpoint(member(others[1]).internal,
+                           cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner)));
   cluster.run_for(milliseconds(20));
   ASSERT_TRUE(cluster.node(replica(4)).join_answer().has_value());
   EXPECT_EQ(cluster.node(replica(4)).join_answer()->leader, core::ControlId());
 }
 
-TEST(Joining, NamedReplicasAreBounded) {
+TEST(Joining, SuggestedEndpointsAreBounded) {
   Cluster cluster(1, true);
   cluster.start(replica(2), {});
   for (std::uint16_t batch = 0; batch < 100; ++batch) {
     JoinReply reply;
-    for (std::uint16_t place = 0; place < 9; ++place) {
+    for (std::uint16_t offset = 0; offset < 9; ++offset) {
       auto named = member(replica(3));
-      named.internal.port = static_cast<std::uint16_t>(1000 + batch * 9 + place);
+      named.internal.port = static_cast<std::uint16_t>(1000 + batch * 9 + offset);
       reply.members.push_back(named);
     }
     cluster.node(replica(2)).step(cluster.now, Message{"test", replica(1), replica(2), 0, reply});
--- a/tests/raft/node_test.cpp
+++ b/tests/raft/node_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 using testing::Cluster;
-using testing::joined;
+using testing::join_commands;
 using testing::replica;
 
 core::ControlId other_than(const core::ControlId& id, int skip = 0) {
@@ -31,7 +31,7 @@
 
 TEST(Node, SoleVoterCommitsOnlyWhatIsPersisted) {
   Cluster cluster(1);
-  auto& node = cluster.elect();
+  auto& node = cluster.await_leader();
   const auto position = node.propose(cluster.now, "a");
   ASSERT_TRUE(position.has_value());
   auto ready = node.take_ready();
@@ -54,7 +54,7 @@
 
 TEST(Node, ManyProposalsShareOneSync) {
   Cluster cluster(3);
-  auto& leader = cluster.elect();
+  auto& leader = cluster.await_leader();
   for (int number = 0; number < 100; ++number) {
     ASSERT_TRUE(leader.propose(cluster.now, std::to_string(number)).has_value());
   }
@@ -65,19 +65,19 @@
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   const auto old = cluster.leader()->config().id;
-  cluster.cut(old);
+  cluster.isolate(old);
   ASSERT_TRUE(cluster.node(old).propose(cluster.now, "lost").has_value());
   ASSERT_TRUE(cluster.commit("b"));
-  cluster.heal(old);
+  cluster.reconnect(old);
   ASSERT_TRUE(cluster.commit("c"));
   EXPECT_EQ(cluster.at(old).applied, (std::vector<std::string>{"a", "b", "c"}));
 }
 
 TEST(Node, LeaderWithoutQuorumStepsDownAndHasNoQuorumBeforeAnotherLeads) {
   Cluster cluster(3);
-  auto& old = cluster.elect();
+  auto& old = cluster.await_leader();
   EXPECT_TRUE(cluster.run_until([&] { return old.has_quorum(cluster.now); }));
-  cluster.cut(old.config().id);
+  cluster.isolate(old.config().id);
   ASSERT_TRUE(cluster.run_until([&] {
     const bool another = cluster.leader() != nullptr;
     EXPECT_FALSE(another && old.has_quorum(cluster.now));
@@ -88,14 +88,14 @@
 
 /// A vote is requested while the leader has a quorum. Without check-quorum it is granted, so that a second
 /// leader could be elected. Runs with and without the mechanism.
-class VoteBesideALeaderTest : public ::testing::TestWithParam<bool> {};
+class VoteWhileLeaderHasQuorumTest : public ::testing::TestWithParam<bool> {};
 
-TEST_P(VoteBesideALeaderTest, IsRefusedWithCheckQuorumOnly) {
+TEST_P(VoteWhileLeaderHasQuorumTest, IsRefusedWithCheckQuorumOnly) {
   const bool check_quorum = GetParam();
   Mechanisms mechanisms;
   mechanisms.check_quorum = check_quorum;
   Cluster cluster(3, false, mechanisms);
-  const auto leader = cluster.elect().config().id;
+  const auto leader = cluster.await_leader().config().id;
   const auto voter = other_than(leader);
   const auto candidate = other_than(leader, 1);
   cluster.run_for(milliseconds(500));
@@ -112,12 +112,12 @@
   EXPECT_EQ(granted, !check_quorum);
 }
 
-INSTANTIATE_TEST_SUITE_P(WithAndWithoutCheckQuorum, VoteBesideALeaderTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(WithAndWithoutCheckQuorum, VoteWhileLeaderHasQuorumTest, ::testing::Bool());
 
-TEST(Node, LeaderWithoutQuorumStepsDownAlsoWhileReadsKeepComing) {
+TEST(Node, LeaderWithoutQuorumStepsDownUnderContinuousReads) {
   Cluster cluster(3);
-  auto& old = cluster.elect();
-  cluster.cut(old.config().id);
+  auto& old = cluster.await_leader();
+  cluster.isolate(old.config().id);
   ReadToken token = 1;
   EXPECT_TRUE(cluster.run_until([&] {
     (void)old.read_index(cluster.now, token++);
@@ -125,22 +125,22 @@
   }));
 }
 
-TEST(Node, ReplicaThatWasCutOffDoesNotDisturbTheLeader) {
+TEST(Node, PartitionedReplicaDoesNotDisruptTheLeader) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   const auto term = cluster.leader()->term();
   const auto leader = cluster.leader()->config().id;
-  const auto away = other_than(leader);
-  cluster.cut(away);
+  const auto isolated = other_than(leader);
+  cluster.isolate(isolated);
   cluster.run_for(milliseconds(20000));
-  cluster.heal(away);
+  cluster.reconnect(isolated);
   cluster.run_for(milliseconds(2000));
   EXPECT_EQ(cluster.leader()->config().id, leader);
   EXPECT_EQ(cluster.leader()->term(), term);
-  EXPECT_EQ(cluster.node(away).leader(), leader);
+  EXPECT_EQ(cluster.node(isolated).leader(), leader);
 }
 
-TEST(Node, AllRestartsKeepCommittedEntries) {
+TEST(Node, RestartOfAllReplicasKeepsCommittedEntries) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   for (int number = 1; number <= 3; ++number) cluster.restart(replica(number));
@@ -148,13 +148,13 @@
   EXPECT_EQ(cluster.at(replica(1)).applied, (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(Node, ARestartedReplicaAppliesAllButTheNewestBatchBeforeItHearsOfALeader) {
+TEST(Node, RestartedReplicaAppliesAllButTheNewestBatchWithoutALeader) {
   // Otherwise no replica can serve any state to daemons after a loss of power until a leader is elected.
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   ASSERT_TRUE(cluster.commit("b"));
   const auto follower = other_than(cluster.leader()->config().id);
-  cluster.cut(follower);
+  cluster.isolate(follower);
   cluster.restart(follower);
   cluster.run_for(milliseconds(20));
   EXPECT_EQ(cluster.at(follower).applied, (std::vector<std::string>{"a"}));
@@ -164,90 +164,90 @@
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   const auto leader = cluster.leader()->config().id;
-  const auto away = other_than(leader);
-  cluster.cut(away);
+  const auto isolated = other_than(leader);
+  cluster.isolate(isolated);
   for (const auto* command : {"b", "c", "d", "e", "f"}) ASSERT_TRUE(cluster.commit(command));
   auto& each = cluster.at(leader);
-  each.node.compact(each.node.applied_index(), joined(each.applied));
-  cluster.heal(away);
+  each.node.compact(each.node.applied_index(), join_commands(each.applied));
+  cluster.reconnect(isolated);
   ASSERT_TRUE(cluster.commit("g"));
-  EXPECT_EQ(cluster.at(away).applied, each.applied);
-  EXPECT_GT(cluster.at(away).disk.snapshot.index, 1U);
-  cluster.restart(away);
+  EXPECT_EQ(cluster.at(isolated).applied, each.applied);
+  EXPECT_GT(cluster.at(isolated).persisted.snapshot.index, 1U);
+  cluster.restart(isolated);
   ASSERT_TRUE(cluster.commit("h"));
-  EXPECT_EQ(cluster.at(away).applied, each.applied);
+  EXPECT_EQ(cluster.at(isolated).applied, each.applied);
 }
 
 // Guards against a leader that queues entries again and again for an unreachable member. Runs with a leader
 // of the same term, which pipelines appends, and with one of a new term, which first probes the member's log.
 class SilentMemberTest : public ::testing::TestWithParam<bool> {};
 
-TEST_P(SilentMemberTest, IsSentOneWindowOfEntriesInACutOfMinutes) {
+TEST_P(SilentMemberTest, IsSentAtMostOneWindowOfEntriesWhileUnreachable) {
   constexpr std::size_t kEntryBytes = 200'000;
   constexpr int kEntries = 20;
   Cluster cluster(5);
-  const auto leader = cluster.elect().config().id;
+  const auto leader = cluster.await_leader().config().id;
   const auto silent = other_than(leader);
-  cluster.cut(silent);
+  cluster.isolate(silent);
   for (int number = 0; number < kEntries; ++number) {
     ASSERT_TRUE(cluster.commit(std::string(kEntryBytes, static_cast<char>('a' + number))));
   }
   const bool new_leader = GetParam();
   if (new_leader) cluster.restart(leader);
-  cluster.elect();
+  cluster.await_leader();
   cluster.run_for(std::chrono::minutes(3));
   const Config config;
-  EXPECT_LE(cluster.entry_bytes_lost, 2 * (config.max_bytes_per_append + kEntryBytes + sizeof(Entry)));
+  EXPECT_LE(cluster.dropped_entry_bytes, 2 * (config.max_bytes_per_append + kEntryBytes + sizeof(Entry)));
 
-  cluster.heal(silent);
+  cluster.reconnect(silent);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.at(silent).applied.size() == std::size_t{kEntries}; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(LeaderOfTheSameAndOfANewTerm, SilentMemberTest, ::testing::Bool());
 
-TEST(Node, ASilentMemberIsSentSnapshotsMoreAndMoreRarely) {
+TEST(Node, SnapshotsToASilentMemberBackOff) {
   Cluster cluster(3);
-  const auto leader = cluster.elect().config().id;
+  const auto leader = cluster.await_leader().config().id;
   const auto silent = other_than(leader);
-  cluster.cut(silent);
+  cluster.isolate(silent);
   for (int number = 0; number < 10; ++number) {
     ASSERT_TRUE(cluster.commit("entry-" + std::to_string(number)));
   }
   auto& node = cluster.node(leader);
-  node.compact(node.applied_index(), joined(cluster.at(leader).applied));
+  node.compact(node.applied_index(), join_commands(cluster.at(leader).applied));
   // Long enough for the leader to find that the member needs a snapshot, which is then lost.
-  cluster.loses_snapshots = true;
-  cluster.heal(silent);
+  cluster.drop_snapshots = true;
+  cluster.reconnect(silent);
   cluster.run_for(milliseconds(200));
-  cluster.cut(silent);
+  cluster.isolate(silent);
   cluster.run_for(std::chrono::minutes(3));
-  const auto& sent = cluster.snapshots_lost;
+  const auto& sent = cluster.snapshot_drop_times;
   ASSERT_GE(sent.size(), 4U);
   // One per retry interval of 2 s would make 90.
   EXPECT_LE(sent.size(), 15U);
   EXPECT_GT(sent[3] - sent[2], sent[1] - sent[0]);
-  cluster.loses_snapshots = false;
-  cluster.heal(silent);
+  cluster.drop_snapshots = false;
+  cluster.reconnect(silent);
   ASSERT_TRUE(cluster.run_until([&] { return cluster.at(silent).applied.size() == 10U; },
                                 std::chrono::milliseconds(20'000)));
 }
 
 TEST(Node, ReadIsConfirmedByAMajorityOnly) {
   Cluster cluster(3);
-  auto& leader = cluster.elect();
+  auto& leader = cluster.await_leader();
   auto& reads = cluster.at(leader.config().id).reads;
   ASSERT_TRUE(leader.read_index(cluster.now, 7).has_value());
   ASSERT_TRUE(cluster.run_until([&] { return reads.size() == 1; }));
   EXPECT_TRUE(reads[0].confirmed);
   EXPECT_EQ(reads[0].index, leader.commit_index());
 
-  cluster.cut(leader.config().id);
+  cluster.isolate(leader.config().id);
   ASSERT_TRUE(leader.read_index(cluster.now, 8).has_value());
   ASSERT_TRUE(cluster.run_until([&] { return reads.size() == 2; }));
   EXPECT_FALSE(reads[1].confirmed);
 }
 
-TEST(Node, TransferHandsLeadershipOverAtOnce) {
+TEST(Node, TransferMovesLeadershipWithoutAnElectionTimeout) {
   Cluster cluster(3);
   ASSERT_TRUE(cluster.commit("a"));
   auto& old = *cluster.leader();
@@ -266,7 +266,7 @@
   EXPECT_EQ(node.term(), 1U);
 }
 
-TEST(Message, SurvivesPacking) {
+TEST(Message, IsUnchangedByPackingAndUnpacking) {
   const Entry entry{5, 2, EntryKind::kMembership, "", testing::voters(3)};
   const Message message{"test", replica(1), replica(2), 9,
                         AppendRequest{{2, 4}, {entry}, 3, 17, {{replica(3), 900}}}};
--- a/tests/storage/file_disk_test.cpp
+++ b/tests/storage/file_disk_test.cpp
@@ -23,7 +23,7 @@
   std::string folder_;
 };
 
-TEST_F(FileDiskTest, HoldsRaftStateOverReopening) {
+TEST_F(FileDiskTest, KeepsRaftStateAcrossReopening) {
   const Identity identity{"cluster", core::ControlId("control-1")};
   raft::Ready ready;
   ready.entries.push_back(raft::Entry{2, 1, raft::EntryKind::kCommand, "command", {}});
@@ -43,7 +43,7 @@
   EXPECT_EQ(storage.value().take_state().entries, ready.entries);
 }
 
-TEST_F(FileDiskTest, AFullDiskIsToldFromABrokenOne) {
+TEST_F(FileDiskTest, FullDiskFailsWithNoCapacity) {
   auto disk = std::move(FileDisk::open(folder_).value());
   std::filesystem::create_symlink("/dev/full", folder_ + "/log");
   const auto written = disk->append("log", "12345");
@@ -51,7 +51,7 @@
   EXPECT_EQ(written.error().kind, core::ErrorKind::kNoCapacity);
 }
 
-TEST_F(FileDiskTest, FolderIsForOneProcessOnly) {
+TEST_F(FileDiskTest, FolderIsLockedForOneProcess) {
   auto first = FileDisk::open(folder_);
   ASSERT_TRUE(first.has_value());
   const auto second = FileDisk::open(folder_);
--- a/tests/storage/raft_storage_test.cpp
+++ b/tests/storage/raft_storage_test.cpp
@@ -16,7 +16,7 @@
 using simulation::SimulatedDisk;
 
 constexpr std::uint64_t kSeed = 20261202;
-constexpr std::size_t kSmallSegment = 300;
+constexpr std::size_t kSmallSegmentBytes = 300;
 const Identity kIdentity{"cluster", core::ControlId("control-1")};
 
 raft::Entry entry(raft::Index index, raft::Term term) {
@@ -51,22 +51,22 @@
 }
 
 core::Result<raft::PersistedState> load(Disk& disk) {
-  BOOST_OUTCOME_TRY(storage, RaftStorage::open(disk, kSmallSegment));
+  BOOST_OUTCOME_TRY(storage, RaftStorage::open(disk, kSmallSegmentBytes));
   return storage.take_state();
 }
 
 /// A disk with a limited number of free bytes.
-class NarrowDisk : public Disk {
+class LimitedDisk : public Disk {
  public:
-  explicit NarrowDisk(Disk& disk) : disk_(disk) {}
+  explicit LimitedDisk(Disk& disk) : disk_(disk) {}
 
   core::Result<std::vector<std::string>> list() override { return disk_.list(); }
   core::Result<std::string> read(const std::string& name) override { return disk_.read(name); }
   core::Result<void> append(const std::string& name, std::string_view bytes) override {
-    const auto taken = std::min(room, bytes.size());
-    BOOST_OUTCOME_TRYV(disk_.append(name, bytes.substr(0, taken)));
-    room -= taken;
-    if (taken == bytes.size()) return core::outcome::success();
+    const auto accepted = std::min(free_bytes, bytes.size());
+    BOOST_OUTCOME_TRYV(disk_.append(name, bytes.substr(0, accepted)));
+    free_bytes -= accepted;
+    if (accepted == bytes.size()) return core::outcome::success();
     return core::fail(core::ErrorKind::kNoCapacity, "The disk is full.", "Free some space.");
   }
   core::Result<void> truncate(const std::string& name, std::uint64_t size) override {
@@ -79,7 +79,7 @@
   core::Result<void> remove(const std::string& name) override { return disk_.remove(name); }
   core::Result<void> sync_directory() override { return disk_.sync_directory(); }
 
-  std::size_t room = std::numeric_limits<std::size_t>::max();
+  std::size_t free_bytes = std::numeric_limits<std::size_t>::max();
 
  private:
   Disk& disk_;
@@ -99,35 +99,35 @@
 /// either crashes or frees space and persists the same Ready again.
 class FullDiskTest : public ::testing::TestWithParam<bool> {};
 
-TEST_P(FullDiskTest, NothingIsLostAndTheSameReadyIsTakenOnceThereIsRoom) {
+TEST_P(FullDiskTest, LosesNothingAndAcceptsTheSameReadyOnceThereIsSpace) {
   const bool crashes = GetParam();
-  constexpr std::size_t kMostRoom = 700;
-  for (std::size_t room = 0; room < kMostRoom; ++room) {
-    SimulatedDisk disk(kSeed + room);
-    NarrowDisk narrow(disk);
-    ASSERT_TRUE(RaftStorage::create(narrow, kIdentity, first_state()).has_value());
-    auto storage = RaftStorage::open(narrow, kSmallSegment);
+  constexpr std::size_t kMaxFreeBytes = 700;
+  for (std::size_t free_bytes = 0; free_bytes < kMaxFreeBytes; ++free_bytes) {
+    SimulatedDisk disk(kSeed + free_bytes);
+    LimitedDisk limited(disk);
+    ASSERT_TRUE(RaftStorage::create(limited, kIdentity, first_state()).has_value());
+    auto storage = RaftStorage::open(limited, kSmallSegmentBytes);
     ASSERT_TRUE(storage.value().persist(append(2, 3, 1)).has_value());
-    narrow.room = room;
+    limited.free_bytes = free_bytes;
     raft::Index last = 3;
     std::vector<raft::Ready> steps{append(4, 5, 1), append(6, 7, 1), compaction(4, 1), append(8, 8, 2)};
     for (const auto& step : steps) {
       auto done = storage.value().persist(step);
       if (!done) {
-        ASSERT_EQ(done.error().kind, core::ErrorKind::kNoCapacity) << room;
+        ASSERT_EQ(done.error().kind, core::ErrorKind::kNoCapacity) << free_bytes;
         if (crashes) break;
         ASSERT_FALSE(storage.value().persist(step).has_value()) << "the disk is still full";
-        narrow.room = std::numeric_limits<std::size_t>::max();
+        limited.free_bytes = std::numeric_limits<std::size_t>::max();
         done = storage.value().persist(step);
       }
-      ASSERT_TRUE(done.has_value()) << room << ": " << core::describe(done.error());
+      ASSERT_TRUE(done.has_value()) << free_bytes << ": " << core::describe(done.error());
       if (!step.entries.empty()) last = step.entries.back().index;
     }
     disk.crash();
     const auto state = load(disk);
-    ASSERT_TRUE(state.has_value()) << room << ": " << core::describe(state.error());
-    ASSERT_FALSE(state.value().entries.empty()) << room;
-    EXPECT_EQ(state.value().entries.back().index, last) << room;
+    ASSERT_TRUE(state.has_value()) << free_bytes << ": " << core::describe(state.error());
+    ASSERT_FALSE(state.value().entries.empty()) << free_bytes;
+    EXPECT_EQ(state.value().entries.back().index, last) << free_bytes;
   }
 }
 
@@ -150,7 +150,7 @@
   EXPECT_EQ(state.value().snapshot.membership.members.size(), 1U);
 }
 
-TEST(RaftStorage, TornLastFrameAtEveryByteIsCutOff) {
+TEST(RaftStorage, TornLastFrameAtEveryByteIsTruncated) {
   SimulatedDisk disk(kSeed);
   ASSERT_TRUE(RaftStorage::create(disk, kIdentity, first_state()).has_value());
   auto storage = RaftStorage::open(disk);
@@ -158,12 +158,12 @@
   const auto name = last_segment(disk);
   const auto synced = disk.read(name).value();
   ASSERT_TRUE(storage.value().persist(append(4, 5, 2)).has_value());
-  const auto whole = disk.read(name).value();
-  ASSERT_GT(whole.size(), synced.size());
-  for (auto length = synced.size(); length < whole.size(); ++length) {
-    for (const bool zeros : {false, true}) {
-      auto torn = whole.substr(0, length);
-      if (zeros) torn.resize(whole.size(), '\0');
+  const auto complete = disk.read(name).value();
+  ASSERT_GT(complete.size(), synced.size());
+  for (auto length = synced.size(); length < complete.size(); ++length) {
+    for (const bool zero_filled : {false, true}) {
+      auto torn = complete.substr(0, length);
+      if (zero_filled) torn.resize(complete.size(), '\0');
       disk.overwrite(name, torn);
       auto reopened = RaftStorage::open(disk);
       ASSERT_TRUE(reopened.has_value()) << length;
@@ -175,7 +175,7 @@
   }
 }
 
-TEST(RaftStorage, DamageBeforeAnIntactFrameIsRefused) {
+TEST(RaftStorage, CorruptionBeforeAnIntactFrameIsDetected) {
   SimulatedDisk disk(kSeed);
   ASSERT_TRUE(RaftStorage::create(disk, kIdentity, first_state()).has_value());
   auto storage = RaftStorage::open(disk);
@@ -183,9 +183,9 @@
   const auto name = last_segment(disk);
   const auto middle = disk.read(name).value().size();
   ASSERT_TRUE(storage.value().persist(append(4, 5, 1)).has_value());
-  const auto whole = disk.read(name).value();
+  const auto complete = disk.read(name).value();
   for (std::size_t position = 0; position < middle; ++position) {
-    auto damaged = whole;
+    auto damaged = complete;
     damaged[position] = static_cast<char>(damaged[position] ^ 0x20);
     disk.overwrite(name, damaged);
     const auto state = load(disk);
@@ -195,10 +195,10 @@
   }
 }
 
-TEST(RaftStorage, DamagedSnapshotAndMissingSegmentAreRefused) {
+TEST(RaftStorage, CorruptSnapshotAndMissingSegmentAreDetected) {
   SimulatedDisk disk(kSeed);
   ASSERT_TRUE(RaftStorage::create(disk, kIdentity, first_state()).has_value());
-  auto storage = RaftStorage::open(disk, kSmallSegment);
+  auto storage = RaftStorage::open(disk, kSmallSegmentBytes);
   for (raft::Index index = 2; index < 20; index += 2) {
     ASSERT_TRUE(storage.value().persist(append(index, index + 1, 1)).has_value());
   }
@@ -219,7 +219,7 @@
   EXPECT_EQ(load(disk).error().kind, core::ErrorKind::kCorrupt);
 }
 
-TEST(RaftStorage, CreationCutShortCountsAsEmpty) {
+TEST(RaftStorage, InterruptedCreationCountsAsEmpty) {
   for (std::uint64_t calls = 0;; ++calls) {
     SimulatedDisk disk(kSeed + calls);
     disk.fail_after(calls);
@@ -245,7 +245,7 @@
 }
 
 /// Expected state after the first `count` Readys, computed by a model without files.
-raft::PersistedState model(std::size_t count) {
+raft::PersistedState expected_state(std::size_t count) {
   auto state = first_state();
   const auto steps = script();
   for (std::size_t step = 0; step < count; ++step) {
@@ -262,17 +262,17 @@
   return state;
 }
 
-bool same(const raft::PersistedState& found, const raft::PersistedState& wanted) {
+bool is_same_state(const raft::PersistedState& found, const raft::PersistedState& expected) {
   auto entries = found.entries;
   std::erase_if(entries, [&](const auto& old) { return old.index <= found.snapshot.index; });
-  return found.hard_state == wanted.hard_state && found.snapshot == wanted.snapshot &&
-         entries == wanted.entries;
+  return found.hard_state == expected.hard_state && found.snapshot == expected.snapshot &&
+         entries == expected.entries;
 }
 
 /// Persists the script until the disk fails; returns how many steps were reported as durable.
 std::size_t run_until_failure(SimulatedDisk& disk) {
   const auto steps = script();
-  auto storage = RaftStorage::open(disk, kSmallSegment);
+  auto storage = RaftStorage::open(disk, kSmallSegmentBytes);
   if (storage.has_failure()) return 0;
   for (std::size_t step = 0; step < steps.size(); ++step) {
     if (storage.value().persist(steps[step]).has_failure()) return step;
@@ -282,7 +282,7 @@
 
 /// Entries that are written after a recovery survive the next crash.
 void expect_continues(SimulatedDisk& disk) {
-  auto storage = RaftStorage::open(disk, kSmallSegment);
+  auto storage = RaftStorage::open(disk, kSmallSegmentBytes);
   ASSERT_TRUE(storage.has_value());
   const auto state = storage.value().take_state();
   const auto last = state.entries.empty() ? state.snapshot.index : state.entries.back().index;
@@ -296,7 +296,7 @@
   ASSERT_EQ(again.value().hard_state, *next.hard_state);
 }
 
-TEST(RaftStorage, CrashBetweenAnyTwoStepsLosesNothingPromised) {
+TEST(RaftStorage, CrashBetweenAnyTwoStepsLosesNothingAcknowledged) {
   constexpr std::uint64_t kSeedsPerPoint = 50;
   for (std::uint64_t calls = 0;; ++calls) {
     bool finished = false;
@@ -304,8 +304,8 @@
       SimulatedDisk disk(calls * kSeedsPerPoint + seed);
       ASSERT_TRUE(RaftStorage::create(disk, kIdentity, first_state()).has_value());
       disk.fail_after(calls);
-      const auto promised = run_until_failure(disk);
-      finished = promised == script().size();
+      const auto acknowledged = run_until_failure(disk);
+      finished = acknowledged == script().size();
       disk.crash();
       // Crash a second time during the recovery, then recover completely.
       disk.fail_after(seed);
@@ -314,13 +314,13 @@
       const auto state = load(disk);
       ASSERT_TRUE(state.has_value()) << calls << " " << core::describe(state.error());
       const auto& found = state.value();
-      const bool before = same(found, model(promised));
-      const bool after = !finished && same(found, model(promised + 1));
+      const bool before = is_same_state(found, expected_state(acknowledged));
+      const bool after = !finished && is_same_state(found, expected_state(acknowledged + 1));
       // When a snapshot is installed, it may be durable without its frame: nothing was acknowledged yet.
-      const bool half = !finished && script()[promised].restore &&
-                        found.snapshot == *script()[promised].snapshot &&
-                        found.hard_state.term >= model(promised).hard_state.term;
-      ASSERT_TRUE(before || after || half) << calls << " " << seed << " " << promised;
+      const bool partial = !finished && script()[acknowledged].restore &&
+                           found.snapshot == *script()[acknowledged].snapshot &&
+                           found.hard_state.term >= expected_state(acknowledged).hard_state.term;
+      ASSERT_TRUE(before || after || partial) << calls << " " << seed << " " << acknowledged;
       expect_continues(disk);
     }
     if (finished) break;
