--- a/src/raft/config.hpp
+++ b/src/raft/config.hpp
@@ -46,7 +46,7 @@
   core::Duration remove_silent_after = std::chrono::seconds(6);
   /// With open membership: silent voters are removed only while at least this many voters remain. Must be
   /// large enough to keep a majority when as many disks are lost at once as the fleet has to tolerate.
-  std::size_t least_voters = 3;
+  std::size_t min_voters = 3;
   Mechanisms mechanisms;
 };
 
--- a/src/raft/node.hpp
+++ b/src/raft/node.hpp
@@ -62,7 +62,7 @@
 };
 
 /// The last JoinReply that this replica has received.
-struct JoinAnswer {
+struct LastJoinReply {
   core::ControlId from;
   JoinRefusal refusal = JoinRefusal::kNotLeader;
   core::ControlId leader;  ///< Leader named in the reply; empty: none.
@@ -101,13 +101,13 @@
   /// or is a learner without a known leader. The change that added it may have been lost with its leader;
   /// then no other replica knows this one.
   [[nodiscard]] bool wants_to_join() const;
-  /// The request of a joining replica. The driver sends it to the configured replicas, to join_contacts() and
-  /// to every replica that connects to this one. It names no receiver, because their ids may have changed.
+  /// The request of a joining replica. The driver sends it to the configured replicas, to join_endpoints()
+  /// and to every replica that connects to this one. It names no receiver: their ids may have changed.
   [[nodiscard]] Message join_request(const Member& self) const;
   /// Further endpoints to send join_request to: the members in this replica's log and those named in
   /// JoinReplies. Needed because the configured replicas may be only some of the members, or none of them.
-  [[nodiscard]] std::vector<core::Endpoint> join_contacts() const;
-  [[nodiscard]] const std::optional<JoinAnswer>& join_answer() const { return join_answer_; }
+  [[nodiscard]] std::vector<core::Endpoint> join_endpoints() const;
+  [[nodiscard]] const std::optional<LastJoinReply>& last_join_reply() const { return last_join_reply_; }
 
   [[nodiscard]] bool has_ready() const;
   /// Takes the pending work; empty until advance() was called for the previous Ready.
@@ -128,7 +128,7 @@
   [[nodiscard]] bool has_quorum(core::Instant now) const;
   /// True once this leader has committed an entry of its own term; its commit index then covers everything
   /// that earlier leaders committed.
-  [[nodiscard]] bool leads_with_committed_term() const;
+  [[nodiscard]] bool has_committed_in_current_term() const;
   [[nodiscard]] bool transferring() const { return transfer_target_.has_value(); }
   /// When tick() has to be called next.
   [[nodiscard]] core::Instant next_timer() const;
@@ -242,7 +242,7 @@
 
   // Joining.
   std::vector<core::Endpoint> suggested_endpoints_;  ///< From JoinReplies; the newest last.
-  std::optional<JoinAnswer> join_answer_;
+  std::optional<LastJoinReply> last_join_reply_;
 
   // Candidates.
   std::map<core::ControlId, bool> votes_;
--- a/src/raft/node_joining.cpp
+++ b/src/raft/node_joining.cpp
@@ -35,7 +35,7 @@
   return Message{config_.cluster, config_.id, {}, hard_state_.term, JoinRequest{self}};
 }
 
-std::vector<core::Endpoint> Node::join_contacts() const {
+std::vector<core::Endpoint> Node::join_endpoints() const {
   std::vector<core::Endpoint> endpoints;
   for (const auto& member : membership().members) {
     if (member.id != config_.id) add_once(endpoints, member.internal);
@@ -46,7 +46,7 @@
 
 void Node::handle(const Message& message, const JoinReply& reply) {
   if (!wants_to_join()) return;
-  join_answer_ = JoinAnswer{message.from, reply.refusal, reply.leader, now_};
+  last_join_reply_ = LastJoinReply{message.from, reply.refusal, reply.leader, now_};
   for (const auto& member : reply.members) add_once(suggested_endpoints_, member.internal);
   if (suggested_endpoints_.size() <= kMaxSuggestedEndpoints) return;
   const auto excess = suggested_endpoints_.size() - kMaxSuggestedEndpoints;
--- a/src/raft/node_membership.cpp
+++ b/src/raft/node_membership.cpp
@@ -31,7 +31,7 @@
   if (!config_.mechanisms.one_membership_change) return core::outcome::success();
   // Two concurrent changes, or a change on top of an earlier leader's change that is neither committed nor
   // discarded, could allow two majorities without a common member.
-  if (membership_change_pending() || !leads_with_committed_term()) {
+  if (membership_change_pending() || !has_committed_in_current_term()) {
     return core::fail(ErrorKind::kConflict, "Another change of the control membership is not committed yet.",
                       "Retry in 1 s.", 1000);
   }
@@ -190,7 +190,7 @@
 bool Node::can_remove_voter() const {
   // The remaining voters must keep a majority in contact even if one more of them fails.
   const std::size_t left = membership().voter_count() - 1;
-  return left >= config_.least_voters && voters_in_contact() > left / 2 + 1;
+  return left >= config_.min_voters && voters_in_contact() > left / 2 + 1;
 }
 
 void Node::remove_member(Member removed, MembershipReason reason) {
--- a/tests/raft/cluster.hpp
+++ b/tests/raft/cluster.hpp
@@ -55,7 +55,7 @@
     config.cluster = "test";
     config.trailing_entries = 2;
     config.open_membership = open_membership_;
-    config.least_voters = min_voters_;
+    config.min_voters = min_voters_;
     config.mechanisms = mechanisms_;
     const auto seed = ++seed_;
     auto applied = parse_commands(persisted.snapshot.state);
@@ -70,9 +70,9 @@
 
   void isolate(const core::ControlId& id) { isolated_.insert(id); }
   [[nodiscard]] bool is_isolated(const core::ControlId& id) const { return isolated_.count(id) > 0; }
-  /// Changes Config::least_voters of all replicas and restarts them.
-  void set_min_voters(std::size_t least_voters) {
-    min_voters_ = least_voters;
+  /// Changes Config::min_voters of all replicas and restarts them.
+  void set_min_voters(std::size_t min_voters) {
+    min_voters_ = min_voters;
     std::vector<core::ControlId> all;
     for (const auto& [id, each] : replicas_) all.push_back(id);
     for (const auto& id : all) restart(id);
@@ -117,7 +117,7 @@
     return best;
   }
   Node& await_leader() {
-    run_until([this] { return leader() != nullptr && leader()->leads_with_committed_term(); });
+    run_until([this] { return leader() != nullptr && leader()->has_committed_in_current_term(); });
     return *leader();
   }
   /// Proposes a command at the leader and waits until every replica that is not isolated has applied it.
@@ -208,7 +208,7 @@
   std::set<core::ControlId> isolated_;
   std::uint64_t seed_ = 0;
   bool open_membership_ = false;
-  std::size_t min_voters_ = Config().least_voters;
+  std::size_t min_voters_ = Config().min_voters;
   Mechanisms mechanisms_;
 };
 
--- a/tests/raft/joining_test.cpp
+++ b/tests/raft/joining_test.cpp
@@ -34,7 +34,7 @@
     next_request_ = cluster_.now + kJoinRequestInterval;
     const auto request = node.join_request(self_);
     std::set<core::Endpoint> targets = configured_endpoints_;
-    for (const auto& endpoint : node.join_contacts()) targets.insert(endpoint);
+    for (const auto& endpoint : node.join_endpoints()) targets.insert(endpoint);
     for (const auto& endpoint : targets) {
       if (endpoint != self_.internal) cluster_.send_to_endpoint(endpoint, request);
     }
@@ -119,12 +119,12 @@
   const auto request = cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner));
   cluster.send_to_endpoint(member(follower).internal, request);
   cluster.run_for(milliseconds(50));
-  const auto& reply = cluster.node(replica(4)).join_answer();
+  const auto& reply = cluster.node(replica(4)).last_join_reply();
   ASSERT_TRUE(reply.has_value());
   EXPECT_EQ(reply->from, follower);
   EXPECT_EQ(reply->refusal, JoinRefusal::kNotLeader);
   EXPECT_EQ(reply->leader, leader);
-  EXPECT_EQ(cluster.node(replica(4)).join_contacts().size(), 3U);
+  EXPECT_EQ(cluster.node(replica(4)).join_endpoints().size(), 3U);
 }
 
 TEST(Joining, JoinReplyNamesNoLeaderWhenNoneIsKnown) {
@@ -138,8 +138,8 @@
   cluster.send_to_endpoint(member(others[1]).internal,
                            cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner)));
   cluster.run_for(milliseconds(20));
-  ASSERT_TRUE(cluster.node(replica(4)).join_answer().has_value());
-  EXPECT_EQ(cluster.node(replica(4)).join_answer()->leader, core::ControlId());
+  ASSERT_TRUE(cluster.node(replica(4)).last_join_reply().has_value());
+  EXPECT_EQ(cluster.node(replica(4)).last_join_reply()->leader, core::ControlId());
 }
 
 TEST(Joining, SuggestedEndpointsAreBounded) {
@@ -154,7 +154,7 @@
     }
     cluster.node(replica(2)).step(cluster.now, Message{"test", replica(1), replica(2), 0, reply});
   }
-  EXPECT_EQ(cluster.node(replica(2)).join_contacts().size(), 64U);
+  EXPECT_EQ(cluster.node(replica(2)).join_endpoints().size(), 64U);
 }
 
 }  // namespace
