--- a/src/raft/node_follower.cpp
+++ b/src/raft/node_follower.cpp
@@ -1,23 +1,23 @@
-// The follower's side of replication of raft::Node.
+// raft::Node: replication on followers.
 #include <algorithm>
 
 #include "raft/node.hpp"
 
 namespace pipitpond::raft {
 
-void Node::follow(const Message& message) {
+void Node::accept_leader(const Message& message) {
   if (role_ != Role::kFollower || leader_ != message.from) become_follower(message.term, message.from);
   last_leader_contact_ = now_;
   reset_election_timer();
 }
 
 void Node::handle(const Message& message, const AppendRequest& request) {
-  if (role_ == Role::kLeader) return;  // Two leaders in one term can't be; never give up our own log.
-  follow(message);
-  earlier_silence_.note(now_, request.silent);
+  if (role_ == Role::kLeader) return;  // A term has only one leader; never overwrite this leader's log.
+  accept_leader(message);
+  reported_contacts_.update(now_, request.silent);
   const auto previous = request.previous.index;
   if (previous < hard_state_.commit) {
-    // What is committed here is in every later leader's log, so it agrees up to there.
+    // Committed entries are in the log of every later leader, so both logs agree up to the commit index.
     send(message.from, AppendReply{true, previous, hard_state_.commit, 0, request.round});
     return;
   }
@@ -36,10 +36,10 @@
 
 void Node::handle(const Message& message, const SnapshotRequest& request) {
   if (role_ == Role::kLeader) return;
-  follow(message);
+  accept_leader(message);
   const auto& snapshot = request.snapshot;
-  const bool holds_it = log_.contains({snapshot.term, snapshot.index});
-  if (snapshot.index > hard_state_.commit && !holds_it) {
+  const bool has_snapshot_entry = log_.contains({snapshot.term, snapshot.index});
+  if (snapshot.index > hard_state_.commit && !has_snapshot_entry) {
     log_.restore(snapshot);
     snapshot_changed_ = true;
     restore_ = true;
--- a/src/storage/frame.cpp
+++ b/src/storage/frame.cpp
@@ -11,18 +11,18 @@
 namespace {
 
 constexpr std::string_view kMagic = "pipF";
-constexpr std::size_t kHeaderBytes = 16;  // magic 4, length 4, checksum 8
+constexpr std::size_t kHeaderBytes = 16;  // magic 4 bytes, length 4 bytes, checksum 8 bytes
 constexpr int kBitsPerByte = 8;
 
 template <typename Number>
-void put(std::string& out, Number number) {
+void append_little_endian(std::string& out, Number number) {
   for (std::size_t byte = 0; byte < sizeof(Number); ++byte) {
     out.push_back(static_cast<char>(number >> (kBitsPerByte * byte)));
   }
 }
 
 template <typename Number>
-Number get(std::string_view bytes) {
+Number read_little_endian(std::string_view bytes) {
   Number number = 0;
   for (std::size_t byte = 0; byte < sizeof(Number); ++byte) {
     number |= static_cast<Number>(static_cast<unsigned char>(bytes[byte])) << (kBitsPerByte * byte);
@@ -30,7 +30,7 @@
   return number;
 }
 
-/// The length is part of what is checked, so that a damaged one is not believed.
+/// Covers the length too, as the seed, so that a damaged length is detected.
 std::uint64_t checksum(std::string_view payload) {
   return XXH3_64bits_withSeed(payload.data(), payload.size(), payload.size());
 }
@@ -38,10 +38,10 @@
 /// The payload of the frame at the start of `bytes`, if it is intact.
 std::optional<std::string_view> intact_frame(std::string_view bytes) {
   if (bytes.size() < kHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic) return std::nullopt;
-  const auto length = get<std::uint32_t>(bytes.substr(4));
+  const auto length = read_little_endian<std::uint32_t>(bytes.substr(4));
   if (bytes.size() - kHeaderBytes < length) return std::nullopt;
   const auto payload = bytes.substr(kHeaderBytes, length);
-  if (get<std::uint64_t>(bytes.substr(8)) != checksum(payload)) return std::nullopt;
+  if (read_little_endian<std::uint64_t>(bytes.substr(8)) != checksum(payload)) return std::nullopt;
   return payload;
 }
 
@@ -56,8 +56,8 @@
 
 std::string encode_frame(std::string_view payload) {
   std::string frame(kMagic);
-  put(frame, static_cast<std::uint32_t>(payload.size()));
-  put(frame, checksum(payload));
+  append_little_endian(frame, static_cast<std::uint32_t>(payload.size()));
+  append_little_endian(frame, checksum(payload));
   frame += payload;
   return frame;
 }
@@ -82,9 +82,10 @@
 }
 
 core::Error corrupt(const std::string& name, const std::string& what) {
-  return core::Error{core::ErrorKind::kCorrupt, "File " + name + " can't be trusted: it has " + what + ".",
-                     "Move the data folder away and start again: the replica then joins anew as a learner "
-                     "and gets its state from the leader."};
+  return core::Error{
+      core::ErrorKind::kCorrupt, "File " + name + " can't be trusted: it has " + what + ".",
+      "Move the data folder away and restart: the replica then rejoins the cluster as a learner "
+      "and receives its state from the leader."};
 }
 
 }  // namespace pipitpond::storage
