--- a/src/failover/coordinator.cpp
+++ b/src/failover/coordinator.cpp
@@ -21,7 +21,8 @@
   if (!leading_) {
     return;
   }
-  // Their heartbeats go to the former leader until they learn of this one: silence says nothing yet.
+  // Daemons send heartbeats to the former leader until they learn of this one, so missing heartbeats are not
+  // counted against them yet.
   for (const auto& [daemon, description] : configuration_.daemons) {
     heard_[daemon] = now;
   }
--- a/src/failover/coordinator.hpp
+++ b/src/failover/coordinator.hpp
@@ -1,13 +1,15 @@
-// Decides when a primary is replaced and drives each replacement. Runs on every control replica and acts
-// on the leader only. No input or output: events in, effects out.
+// Decides when a group's primary is replaced and drives each replacement (failover or planned switchover).
+// Runs on every control replica but acts only on the Raft leader. Performs no I/O: it consumes events and
+// returns effects for its driver to execute.
 //
 // Safety rests on four rules, see docs/design/failover.md:
-//   1. Fences and promotions of a term are sent only after the term's begin is committed.
-//   2. A database is promoted only when a majority of its group has promised the term and holds nothing
-//      newer than it does, so that it holds every write that was ever acknowledged.
-//   3. In one term, one database at most is ever asked to become primary. A leader never promotes in a term
-//      that another leadership began: it begins the next one.
-//   4. Callers' writes reach the new primary only after it is committed as the term's primary.
+//   1. Fence and promote requests of a term are sent only after the start of the term is committed.
+//   2. A database is promoted only when a majority of its group is fenced at the term and none of that
+//      majority has a longer log, so that the promoted database holds every acknowledged write. For
+//      semi-synchronous groups see fences_needed().
+//   3. At most one database is ever asked to become primary in a term. A leader never promotes in a term that
+//      an earlier leadership began; it begins the next term instead.
+//   4. Writes are routed to the new primary only after it is committed as the primary of the term.
 #pragma once
 
 #include <map>
@@ -24,10 +26,11 @@
 
 class GroupCoordinator;
 
-/// Coordinates the primaries of all groups.
+/// Coordinates changes of primary in all database groups.
 class Coordinator {
  public:
-  /// `revision_followed` is asked before a group that acknowledges by receipt gets its new primary.
+  /// `revision_followed` must hold before a new primary is committed in a semi-synchronous group (one with
+  /// `sync_replicas` > 0, which acknowledges a write once that many replicas have received it).
   explicit Coordinator(RevisionFollowed revision_followed = [](core::Instant, protocol::Revision) {
     return true;
   });
@@ -35,18 +38,18 @@
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
-  /// Leadership was gained or lost. Report a gain only once this replica has applied everything that earlier
-  /// leaders committed (its first own entry is committed), and a loss before any configuration that a later
-  /// leader committed.
+  /// Raft leadership was gained or lost. Report a gain only after this replica has applied everything that
+  /// earlier leaders committed (the first entry of its own term is committed), and a loss before passing on
+  /// any configuration that a later leader committed.
   void on_leadership(core::Instant now, bool leading);
-  /// The committed configuration, after each change.
+  /// Takes over the committed configuration. Call after each change.
   void on_configuration(core::Instant now, const protocol::Configuration& configuration);
-  /// A daemon's heartbeat arrived: its full current list, also when empty. Judges the groups that this list
-  /// or the one before names; all others wait for tick, so that a heartbeat's cost doesn't grow with the
-  /// groups.
+  /// A heartbeat of `daemon` arrived. `suspicions` is its complete current list and may be empty. Evaluates
+  /// at once only the groups named in this list or the previous one; all others are left to tick(), so that
+  /// the cost of a heartbeat does not grow with the number of groups.
   void on_suspicions(core::Instant now, const core::DaemonId& daemon,
                      const std::vector<protocol::SuspicionReport>& suspicions);
-  /// A daemon departed or was removed.
+  /// A daemon has shut down or was removed from the configuration.
   void on_daemon_gone(core::Instant now, const core::DaemonId& daemon);
 
   void on_probe_answer(core::Instant now, const database::StatusAnswer& status);
@@ -58,17 +61,17 @@
                          const database::PromoteAnswer& answer);
   void on_promote_failed(core::Instant now, const core::GroupName& group, const core::DatabaseId& database,
                          core::Term term);
-  /// A fence or promotion of `term` was refused because the database has promised `newer`.
+  /// The database refused a fence or promotion at `term` because it is already fenced at the term `newer`.
   void on_refused(core::Instant now, const core::GroupName& group, const core::DatabaseId& database,
                   core::Term term, core::Term newer);
 
   /// Call every kTickInterval or more often.
   void tick(core::Instant now);
 
-  /// Owners by the last configuration.
+  /// Daemons that own each database (probe it and report on it) according to the last configuration.
   [[nodiscard]] const ownership::OwnerTable& owner_table() const { return owner_table_; }
 
-  /// What is to be done now. Call after each input.
+  /// Returns and clears the pending effects. Call after each event.
   std::vector<Effect> take_effects();
 
  private:
@@ -79,14 +82,14 @@
   std::map<core::GroupName, std::unique_ptr<GroupCoordinator>> groups_;
   std::map<core::DatabaseId, core::GroupName> group_of_;
   std::map<core::DaemonId, core::Instant> heard_;
-  /// Groups that each daemon's last list named, to withdraw what its next list leaves out.
+  /// Groups with a report in each daemon's last list. Reports missing from the next list are withdrawn.
   std::map<core::DaemonId, std::vector<core::GroupName>> suspected_by_;
   protocol::Configuration configuration_;
   ownership::OwnerTable owner_table_;
   std::vector<Effect> effects_;
 };
 
-/// Longest time between two calls of Coordinator::tick.
+/// Maximum time between two calls of Coordinator::tick.
 inline constexpr core::Duration kTickInterval = std::chrono::milliseconds(20);
 
 }  // namespace pipitpond::failover
--- a/src/failover/daemon_leases.cpp
+++ b/src/failover/daemon_leases.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// From the last grant until every connection of a daemon that went silent is surely closed.
+/// Time after the end of a lease on the leader's clock until the databases must have closed every connection
+/// of a daemon that stopped sending heartbeats.
 constexpr core::Duration kRemovalDelayAfterLease =
     protocol::kLeaseClockMargin + protocol::kDatabaseIdleTimeout;
 
@@ -24,7 +25,7 @@
   for (const auto& [id, daemon] : admitted_) {
     Entry entry;
     entry.incarnation = daemon.incarnation;
-    entry.last_grant = now;  // The former leader may have granted a lease a moment ago.
+    entry.last_grant = now;  // The former leader may have granted a lease just before losing leadership.
     put(id, entry);
   }
 }
@@ -65,12 +66,12 @@
   const auto found = entries_.find(heartbeat.daemon);
   const bool admitted = found != entries_.end() && found->second.incarnation == heartbeat.incarnation;
   if (!leading_ || !has_quorum) {
-    // A leader that lost its quorum may not know the newest revision, nor who else grants leases.
+    // Without a quorum, another leader may have committed newer revisions and may be granting leases.
     reply.current = 0;
     return reply;
   }
-  // Once a daemon may be removed its removal may be under way: a lease granted now would outlast it, while
-  // others use its budgets. It is admitted anew afterwards.
+  // The removal of a removable daemon may already be proposed. A lease granted now would still be valid after
+  // the removal, when other daemons use its connection budgets. The daemon has to be admitted again instead.
   const bool stays = admitted && !is_removable(now, found->second);
   if (stays) {
     Entry entry = found->second;
@@ -80,10 +81,11 @@
     entry.applied = std::max(entry.applied, heartbeat.applied);
     put(found->first, entry);
   }
-  // A daemon that was removed and is back would, by the configuration that it still has, use budgets that
-  // others have taken over meanwhile.
+  // A daemon that was removed and admitted again must have applied its new admission: the configuration from
+  // before its removal grants it connection budgets that other daemons have taken over.
   const bool knows_its_admission = stays && heartbeat.applied >= admitted_.at(heartbeat.daemon).revision;
-  // One that was out of touch during a change of primary would, with a new lease, trust the replaced one.
+  // A daemon that was partitioned during a change of primary would use a new lease to read from the replaced
+  // primary.
   const bool knows_primaries = heartbeat.applied >= primaries_revision_;
   if (knows_its_admission && knows_primaries) {
     reply.lease_ms = static_cast<std::uint32_t>(core::to_millis(lease_));
@@ -113,7 +115,7 @@
   }
   const protocol::Daemon& known = found->second;
   if (described.incarnation < known.incarnation) {
-    return false;  // A late message of an earlier life.
+    return false;  // Delayed heartbeat of an earlier incarnation.
   }
   return described.incarnation != known.incarnation || described.zone != known.zone ||
          described.internal != known.internal || described.callers != known.callers ||
--- a/src/failover/daemon_leases.hpp
+++ b/src/failover/daemon_leases.hpp
@@ -1,7 +1,7 @@
-// The control leader's table of daemon leases. No input or output.
+// The control leader's table of daemon leases. Performs no I/O.
 //
-// A daemon's lease runs from the moment it sent a heartbeat, so it ends on the daemon's clock before it ends
-// here, where it is counted from the heartbeat's arrival.
+// A daemon counts its lease from when it sent the heartbeat, the leader from when the heartbeat arrived, so
+// that the lease expires at the daemon first.
 #pragma once
 
 #include <cstddef>
@@ -17,58 +17,61 @@
 
 namespace pipitpond::failover {
 
-/// A daemon that control may remove from the configuration.
+/// A daemon that the control leader may remove from the configuration.
 struct RemovableDaemon {
   core::DaemonId daemon;
   std::uint64_t incarnation = 0;
 };
 
-/// Grants leases while this replica leads.
+/// Grants leases to daemons while this replica is the Raft leader.
 class DaemonLeases {
  public:
-  /// `lease`: how long each lease runs. All replicas of control must use the same.
+  /// `lease`: duration of each lease. All control replicas must use the same value.
   explicit DaemonLeases(core::Duration lease = protocol::kDaemonLease) : lease_(lease) {}
 
-  /// Leadership was gained or lost. A new leader does not know which leases earlier leaders granted, so it
-  /// removes nobody before the longest of them has surely ended.
+  /// Raft leadership was gained or lost. A new leader does not know which leases earlier leaders granted, so
+  /// it removes no daemon until the last of those leases must have expired.
   void on_leadership(core::Instant now, bool leading);
-  /// The committed configuration, after each change.
+  /// Takes over the committed configuration. Call after each change.
   void on_configuration(core::Instant now, const protocol::Configuration& configuration);
 
   /// Answers a heartbeat. `has_quorum`: a majority of the control replicas has confirmed this leader within
-  /// an election timeout. Without it, or for a daemon that is not admitted, the reply grants no lease.
+  /// an election timeout. Without a quorum, or for a daemon that is not in the configuration, the reply
+  /// grants no lease.
   protocol::HeartbeatReply on_heartbeat(core::Instant now, const protocol::Heartbeat& heartbeat,
                                         bool has_quorum);
-  /// True when the heartbeat tells something that the configuration does not say yet: a daemon that is new,
-  /// restarted, moved or leaving. The driver then proposes the daemon as `described_by` gives it.
+  /// True when the heartbeat differs from the configuration: the daemon is new, restarted, has other
+  /// addresses or another zone, or is leaving. The driver then proposes the daemon that `described_by`
+  /// returns.
   [[nodiscard]] bool needs_admission(const protocol::Heartbeat& heartbeat) const;
-  /// The daemon as the heartbeat describes it.
+  /// Builds the configuration entry of a daemon from its heartbeat.
   static protocol::Daemon described_by(const protocol::Heartbeat& heartbeat);
 
-  /// The daemon has drained: it holds no connection and can be removed at once.
+  /// The daemon has drained: it has no database connections left and can be removed at once.
   void on_departure(core::Instant now, const protocol::Departure& departure);
 
-  /// Daemons whose lease, kLeaseClockMargin and kDatabaseIdleTimeout have passed, and departed ones. Listed
-  /// until a configuration without them arrives.
+  /// Departed daemons, and those for which the lease plus kLeaseClockMargin plus kDatabaseIdleTimeout have
+  /// passed. They are listed until a configuration without them arrives.
   [[nodiscard]] std::vector<RemovableDaemon> removable(core::Instant now) const;
 
-  /// True when no admitted daemon acts on a configuration older than `revision` under a lease: each has
-  /// applied it, has departed, or its lease has surely ended.
+  /// True when no daemon in the configuration can hold a lease while using a configuration older than
+  /// `revision`: each daemon has applied `revision`, has departed, or its lease must have expired.
   [[nodiscard]] bool followed_or_expired(core::Instant now, protocol::Revision revision) const;
-  /// Smallest settled revision of all admitted daemons; 0 while one of them has not been heard.
+  /// Lowest revision that every daemon in the configuration reports as settled; 0 until each of them has sent
+  /// a heartbeat to this leader.
   [[nodiscard]] protocol::Revision settled_everywhere() const;
 
  private:
   struct Entry {
     std::uint64_t incarnation = 0;
-    core::Instant last_grant;  ///< When the last lease began at the latest, on the leader's clock.
-    bool heard = false;        ///< During this leadership, in this incarnation.
+    core::Instant last_grant;  ///< Latest possible start of the last lease, on the leader's clock.
+    bool heard = false;        ///< Sent a heartbeat in this incarnation during this leadership.
     bool departed = false;
     protocol::Revision settled = 0;
     protocol::Revision applied = 0;
   };
 
-  /// The last term of a group and its primary.
+  /// Last term of a group and the primary of that term (empty until committed).
   struct Primary {
     core::Term term = 0;
     core::DatabaseId database;
@@ -78,7 +81,7 @@
 
   void note_primaries(const protocol::Configuration& configuration);
   [[nodiscard]] bool is_removable(core::Instant now, const Entry& entry) const;
-  /// Writes an entry and keeps the counts right.
+  /// Stores an entry and updates `settled_`.
   void put(const core::DaemonId& daemon, const Entry& entry);
   void remove(const core::DaemonId& daemon);
   void count_out(const Entry& entry);
@@ -86,13 +89,13 @@
   core::Duration lease_;
   bool leading_ = false;
   protocol::Revision revision_ = 0;
-  /// Of groups that acknowledge by receipt: whoever has applied this revision knows all their primaries. A
-  /// lease says that its holder does.
+  /// Revision of the last change of a primary or term in a semi-synchronous group. Only daemons that have
+  /// applied it are granted a lease, so that a lease holder knows the primaries of all these groups.
   protocol::Revision primaries_revision_ = 0;
   std::map<core::GroupName, Primary> primaries_;
   std::map<core::DaemonId, protocol::Daemon> admitted_;
   std::map<core::DaemonId, Entry> entries_;
-  /// How many entries have settled each revision, so that the smallest is known without a look at all.
+  /// Number of entries by settled revision, so that the lowest is found without iterating over all entries.
   std::map<protocol::Revision, std::size_t> settled_;
 };
 
--- a/src/failover/database_monitor.cpp
+++ b/src/failover/database_monitor.cpp
@@ -18,7 +18,7 @@
   }
   if (suspicion_ == protocol::Suspicion::kNotPrimary ||
       suspicion_ == protocol::Suspicion::kReplicationStalled) {
-    suspicion_.reset();  // Said of another term; the next status judges anew.
+    suspicion_.reset();  // May refer to an earlier term or role; the next status is evaluated afresh.
   }
 }
 
@@ -26,7 +26,7 @@
   const bool stood_still = now - last_tick_ > protocol::kProbeTimeout;
   last_tick_ = now;
   if (stood_still && probe_sent_.has_value()) {
-    // The answer may be waiting unread: this process was the slow one.
+    // This process was stalled, so the answer may have arrived but not been read yet.
     probe_sent_.reset();
     probe_at_once_ = true;
   }
@@ -37,7 +37,8 @@
   if (probe_sent_.has_value()) {
     return false;
   }
-  // A busy primary is still asked for its status now and then: data answers don't tell of a term or a stall.
+  // A busy primary is still probed every kStatusInterval: data answers carry neither its term nor a
+  // replication stall.
   const bool quiet = now - last_heard_ >= protocol::kProbeInterval;
   const bool status_old = now - last_status_ >= kStatusInterval;
   if (!(probe_at_once_ || failures_ > 0 || quiet || status_old)) {
@@ -59,7 +60,7 @@
 
 void DatabaseMonitor::on_probe_failed(core::Instant now, bool refused) {
   if (!probe_sent_.has_value()) {
-    return;  // Counted already when it timed out.
+    return;  // Already counted as a timeout.
   }
   probe_sent_.reset();
   count_failure(now, refused ? protocol::kProbeFailuresToSuspect : 1);
@@ -98,7 +99,7 @@
     suspect(now, protocol::Suspicion::kLeaving);
     return;
   }
-  // A database that has promised a later term than this daemon knows of is in the middle of a change.
+  // A database at a later term than the one this daemon knows is part of a change of primary in progress.
   const bool knows_same_term = status_->term == term_;
   if (primary_ && knows_same_term && status_->role != database::Role::kPrimary) {
     suspect(now, protocol::Suspicion::kNotPrimary);
--- a/src/failover/database_monitor.hpp
+++ b/src/failover/database_monitor.hpp
@@ -1,5 +1,6 @@
-// An owner's judgement of one database, from its probes and from the answers that its traffic gets. No input
-// or output: the driver sends a probe when asked to and reports what came of it.
+// Failure detector that an owner (a daemon assigned to a database) runs for that database, based on probes
+// and on the results of data traffic. Performs no I/O: the driver sends a probe when tick() returns true and
+// reports the result.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +14,36 @@
 
 namespace pipitpond::failover {
 
-/// Watches one database for one owner.
+/// Monitors the health of one database on behalf of one owner.
 class DatabaseMonitor {
  public:
   DatabaseMonitor(core::Instant now, core::DatabaseId database);
 
-  /// What the configuration says: the group's last term, and whether this database is its primary.
+  /// Sets the group's last term, and whether this database is its primary, according to the configuration.
   void set_expectation(core::Term term, bool primary);
 
-  /// True when a probe should be sent now; call every kMonitorInterval. The monitor counts it as sent, with
-  /// the timeout kProbeTimeout. A moment that comes late because this process stood still fails no probe.
+  /// Returns true when a probe must be sent now; call every kMonitorInterval. The probe then counts as sent
+  /// and fails after kProbeTimeout. If this process was stalled for longer than that between two calls, the
+  /// probe in flight is discarded instead of counted as failed.
   bool tick(core::Instant now);
 
   void on_status(core::Instant now, const database::StatusAnswer& status);
-  /// The probe failed; `refused` when no connection could be made.
+  /// The probe failed; `refused`: the connection was refused.
   void on_probe_failed(core::Instant now, bool refused);
-  /// A statement or commit was answered, also with an error: the database is alive.
+  /// A statement or commit got an answer. An error answer also shows that the database is alive.
   void on_data_answer(core::Instant now);
-  /// A statement's connection was refused or broke: the next tick asks for a probe at once.
+  /// A connection for a statement was refused or broke. The next tick() requests a probe.
   void on_data_failure(core::Instant now);
 
-  /// The next tick asks for a status at once: the owner needs to know what room the database has.
+  /// Makes the next tick() request a probe, because the owner's connection pool needs the
+  /// database's current connection usage.
   void ask_at_once() { probe_at_once_ = true; }
 
-  /// What to report to control, if anything.
+  /// The suspicion to report to the control leader, or empty.
   [[nodiscard]] std::optional<protocol::SuspicionReport> suspicion(core::Instant now) const;
-  /// Last status that was received.
+  /// Last status received, or empty.
   [[nodiscard]] const std::optional<database::StatusAnswer>& status() const { return status_; }
-  /// When the last status or answer came in.
+  /// Time of the last status or data answer.
   [[nodiscard]] core::Instant last_heard() const { return last_heard_; }
 
  private:
@@ -62,9 +65,9 @@
   core::Instant suspected_since_;
 };
 
-/// A status is asked for at least this often, also while data answers show that the database is alive.
+/// Maximum age of the status before a probe is due, even while data answers show that the database is alive.
 inline constexpr core::Duration kStatusInterval = std::chrono::milliseconds(400);
-/// How often to call DatabaseMonitor::tick.
+/// Interval between calls of DatabaseMonitor::tick.
 inline constexpr core::Duration kMonitorInterval = std::chrono::milliseconds(25);
 
 }  // namespace pipitpond::failover
--- a/src/failover/departure_watch.hpp
+++ b/src/failover/departure_watch.hpp
@@ -1,8 +1,8 @@
-// When a departed database may be forgotten.
+// Decides when a departed database (one that announced its shutdown) is removed from its group.
 //
-// A database that has ended may have held the only receipt of an acknowledged write, beside the primary. As
-// long as it counts as a member, no change of primary goes past it. It may be forgotten once another replica
-// has received all that the primary held after the departed one had fallen silent.
+// Besides the primary, a departed database may hold the only copy of an acknowledged write. While it is a
+// member, it counts in the fences that a change of primary needs. It is removed once another replica has
+// received everything that was in the primary's log after the departed database stopped answering probes.
 #pragma once
 
 #include <map>
@@ -15,19 +15,19 @@
 
 namespace pipitpond::failover {
 
-/// Watches the departed databases of one group.
+/// Tracks the departed databases of one group.
 class DepartureWatch {
  public:
-  /// True while the group has a departed database, so that its members must be probed.
+  /// True while the group has a departed database; its members must be probed then.
   static bool needed(const protocol::Group& group);
-  /// Appends the removals that are due. `primary`: the group's current one.
+  /// Appends a removal for each departed database that can go. `primary`: the group's current primary.
   void tick(core::Instant now, const protocol::Group& group, const core::DatabaseId& primary,
             const MemberWatch& watch, std::vector<Effect>& effects);
-  /// The primary has changed: what was seen says nothing about the new one's log.
+  /// Call when the primary has changed: the recorded positions refer to the log of the former primary.
   void reset() { held_by_primary_.clear(); }
 
  private:
-  /// What the primary held when it was first asked after the departed database had fallen silent.
+  /// Last position of the primary's log when first seen after the departed database stopped answering.
   std::map<core::DatabaseId, core::LogPosition> held_by_primary_;
 };
 
--- a/src/failover/effects.hpp
+++ b/src/failover/effects.hpp
@@ -1,5 +1,5 @@
-// What the failover coordinator asks its driver to do. Each effect may be lost or carried out late: the
-// coordinator asks again until it hears an answer, and every effect is idempotent.
+// Actions that the failover coordinator requests from its driver. An effect may be lost or executed late: the
+// coordinator requests it again until it gets an answer, and every effect is idempotent.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,18 @@
 
 namespace pipitpond::failover {
 
-/// True once no daemon acts on an older configuration than that of the revision: each has applied it or has
-/// no lease any more.
+/// Returns true once no daemon can act on a configuration older than `revision`: each daemon has applied the
+/// revision or no longer holds a lease.
 using RevisionFollowed = std::function<bool(core::Instant now, protocol::Revision revision)>;
 
-/// GET /v1/status. Answer with on_probe_answer or on_probe_failed.
+/// Sends GET /v1/status. Report the result with on_probe_answer or on_probe_failed.
 struct ProbeDatabase {
   core::DatabaseId database;
   core::Endpoint endpoint;
   core::GroupName group;
 };
 
-/// POST /v1/fence. Answer with on_fence_answer, on_refused or on_fence_failed.
+/// Sends POST /v1/fence. Report the result with on_fence_answer, on_refused or on_fence_failed.
 struct FenceDatabase {
   core::GroupName group;
   core::DatabaseId database;
@@ -34,7 +34,7 @@
   core::Term term = 0;
 };
 
-/// POST /v1/promote. Answer with on_promote_answer, on_refused or on_promote_failed.
+/// Sends POST /v1/promote. Report the result with on_promote_answer, on_refused or on_promote_failed.
 struct PromoteDatabase {
   core::GroupName group;
   core::DatabaseId database;
@@ -43,16 +43,16 @@
   std::vector<database::Member> members;
 };
 
-/// Replicated change: append TermStart{new_term, none} to the group's terms, provided that its last term is
-/// still `expected_term` (0: it has none); otherwise nothing.
+/// Proposes a replicated change: append TermStart{new_term} without a primary to the group's terms. No effect
+/// unless the group's last term is still `expected_term` (0: the group has no term).
 struct ProposeBegin {
   core::GroupName group;
   core::Term expected_term = 0;
   core::Term new_term = 0;
 };
 
-/// Replicated change: set primary and start of the group's last term, provided that it is still `term` and
-/// has no primary; otherwise nothing.
+/// Proposes a replicated change: set the primary and start position of the group's last term. No effect
+/// unless the last term is still `term` and has no primary.
 struct ProposeComplete {
   core::GroupName group;
   core::Term term = 0;
@@ -60,14 +60,14 @@
   core::LogPosition start;
 };
 
-/// Replicated change: take over the primary that a self-registered group already has.
+/// Proposes a replicated change: record the primary that a self-registered group already has.
 struct ProposeAdopt {
   core::GroupName group;
   core::Term term = 0;
   core::DatabaseId primary;
 };
 
-/// Replicated change: forget a departed database.
+/// Proposes a replicated change: remove a departed database from its group.
 struct ProposeRemove {
   core::DatabaseId database;
 };
--- a/src/failover/group_coordinator.cpp
+++ b/src/failover/group_coordinator.cpp
@@ -37,7 +37,7 @@
   if (has_primary()) {
     if (phase_ != Phase::kSteady && last_term() >= own_term_) {
       enter_steady();
-      watch_.reset();  // What was seen of the new primary is from before it was one.
+      watch_.reset();  // Probe answers of the new primary date from before its promotion.
       departures_.reset();
     }
     return;
@@ -51,8 +51,8 @@
   } else if (own_begin) {
     start_fencing(now);
   } else if (last_term() != term_before && last_term() != own_term_) {
-    // Someone else began this term. What it has asked of the databases is not known here, so that no
-    // database may be promoted in it: tick begins the next term.
+    // Another leadership began this term and may have sent promotions that are unknown here, so no database
+    // may be promoted in it. tick() begins the next term.
     enter_steady();
   }
 }
@@ -122,12 +122,12 @@
 }
 
 core::Duration GroupCoordinator::planned_change_notice() const {
-  // Daemons of such a group go on with the leaving primary until the change begins, so waiting gains nothing.
+  // In a semi-synchronous group, daemons keep using a leaving primary until the change begins, so waiting
+  // does not drain its transactions.
   return acknowledges_by_receipt() ? core::Duration::zero() : kPlannedChangeNotice;
 }
 
-// --- The first primary of a self-registered group
-// -------------------------------------------------------------
+// --- First primary of a self-registered group --------------------------------------------------------------
 
 bool GroupCoordinator::never_had_a_primary() const {
   return group_.self_registered && group_.terms.empty();
@@ -145,7 +145,7 @@
   }
 }
 
-// --- Whether to change -------------------------------------------------------------------------------------
+// --- Failure detection -------------------------------------------------------------------------------------
 
 bool GroupCoordinator::should_watch() const {
   const bool draining = has_primary() && member(primary()) != nullptr && member(primary())->draining;
@@ -154,7 +154,7 @@
 }
 
 bool GroupCoordinator::change_is_due(core::Instant now, const HeardTable& heard) const {
-  // A change that can't reach a majority would leave the group without any primary for longer.
+  // A change that can't fence enough databases would leave the group without a primary for longer.
   if (watch_.count_reachable(now) < fences_needed()) {
     return false;
   }
@@ -162,21 +162,23 @@
     return true;
   }
   if (member(primary()) == nullptr) {
-    return true;  // An operator has taken the primary out of the group.
+    return true;  // An operator has removed the primary from the group.
   }
   const Tally tally = tally_.count(now, owners_, heard, primary(), last_term());
   if (tally.majority_lost()) {
     return true;
   }
-  // With a majority of the daemons, one failed probe of the leader's own is enough.
+  // In a semi-synchronous group, one failed probe by the leader confirms the suspicion of a majority of
+  // owners.
   const bool doubted_too = acknowledges_by_receipt() && watch_.doubtful(primary());
   const bool leader_agrees = leader_lost_primary(now) || stall_confirmed(now) || doubted_too;
   if (tally.majority_suspects() || tally.heard_majority_suspects()) {
     return leader_agrees;
   }
-  // Some callers can't write, and the leader itself could not stop the primary: moving it serves all of them.
+  // Partial partition: some callers can't write, and the leader can't reach the primary either. A new primary
+  // serves all callers.
   const bool cut_in_part = acknowledges_by_receipt() && tally.part_lost() && leader_lost_primary(now);
-  // Only those that write see the stall; the others can't contradict them, but the leader can.
+  // Only owners with writes in progress notice a stall, so one report suffices when the leader confirms it.
   const bool no_receipts = acknowledges_by_receipt() && tally.stalled > 0 && receipts_missing(now);
   return cut_in_part || no_receipts ||
          (tally.owners == 0 && (leader_lost_primary(now) || stall_confirmed(now)));
@@ -187,7 +189,7 @@
     return true;
   }
   const database::StatusAnswer* status = watch_.status(primary());
-  // Terms of a group that acknowledges by receipt are its own, and may be behind those of control.
+  // A semi-synchronous group counts its own terms, which may be behind those of the configuration.
   const bool of_this_term = acknowledges_by_receipt() || (status != nullptr && status->term >= last_term());
   return status != nullptr && watch_.reachable(now, primary()) && of_this_term &&
          status->role != database::Role::kPrimary;
@@ -202,13 +204,15 @@
     return receipts_missing(now);
   }
   const bool stalled = status->replication_stalled_ms >= core::to_millis(protocol::kReplicationStallLimit);
-  // Without a majority of others there is nobody better; with advancing replicas it is mere slowness.
+  // Without a majority of other reachable databases no replica can take over. While replicas advance,
+  // replication is slow but not stalled.
   const bool others_can_serve =
       watch_.count_reachable(now, primary()) >= majority_of(group_.databases.size());
   return stalled && others_can_serve && !watch_.replicas_advance(now, primary());
 }
 
-/// Callers wait for the primary's receipts, and no replica in reach receives what the primary has.
+/// True when no replica holds the primary's last log entry and none advances although enough replicas are
+/// reachable: writes on the primary wait for replica acknowledgements.
 bool GroupCoordinator::receipts_missing(core::Instant now) const {
   const database::StatusAnswer* status = watch_.status(primary());
   if (status == nullptr || !watch_.reachable(now, primary())) {
@@ -254,7 +258,7 @@
   });
 }
 
-// --- Begin -------------------------------------------------------------------------------------------------
+// --- Begin a term ------------------------------------------------------------------------------------------
 
 void GroupCoordinator::begin(core::Instant now, bool planned) {
   phase_ = Phase::kBeginning;
@@ -274,8 +278,7 @@
   effects_.emplace_back(ProposeBegin{group_.name, last_term(), own_term_});
 }
 
-// --- Let a leaving primary finish
-// ----------------------------------------------------------------------------
+// --- Quiesce a leaving primary -----------------------------------------------------------------------------
 
 void GroupCoordinator::start_quiescing(core::Instant now) {
   phase_ = Phase::kQuiescing;
@@ -320,7 +323,7 @@
     return;
   }
   if (answer.received.term >= own_term_) {
-    // Entries of this very term: a primary of it exists that this leadership did not choose.
+    // The log has entries of this term, so it already has a primary that this leadership did not choose.
     newest_seen_ = std::max(newest_seen_, answer.received.term);
     begin(now, false);
     return;
@@ -411,8 +414,8 @@
 }
 
 void GroupCoordinator::give_up_candidate(core::Instant now) {
-  // The candidate may have accepted although no answer came, and it may act as this term's primary. Another
-  // one must not be promoted in the same term, only in a later one, whose fences stop the first.
+  // The candidate may have accepted the promotion without its answer arriving, and may act as primary of this
+  // term. Another database may be promoted only in a later term, whose fences stop this candidate.
   avoided_.insert(candidate_);
   begin(now, false);
 }
@@ -451,8 +454,8 @@
 // --- Complete ----------------------------------------------------------------------------------------------
 
 void GroupCoordinator::propose_complete(core::Instant now) {
-  // Nothing stops reads at the old primary of such a group. A daemon that may still trust it must have
-  // learned of the change, or have lost its lease, before the new primary is given a write to acknowledge.
+  // In a semi-synchronous group, fencing does not stop reads on the old primary. Every daemon must have
+  // applied the begin of the change, or lost its lease, before the new primary can acknowledge a write.
   const bool too_early = acknowledges_by_receipt() && !revision_followed_(now, begin_revision_);
   if (too_early || now - proposed_at_ < kProposalRetry) {
     return;
@@ -461,8 +464,7 @@
   effects_.emplace_back(ProposeComplete{group_.name, own_term_, candidate_, start_});
 }
 
-// --- The group
-// -----------------------------------------------------------------------------------------------
+// --- Committed state ---------------------------------------------------------------------------------------
 
 core::Term GroupCoordinator::last_term() const {
   return group_.terms.empty() ? 0 : group_.terms.back().term;
--- a/src/failover/group_coordinator.hpp
+++ b/src/failover/group_coordinator.hpp
@@ -1,9 +1,10 @@
-// Drives the changes of primary of one group; see coordinator.hpp for the rules.
+// State machine for changes of primary in one group; see coordinator.hpp for the safety rules.
 //
 //   kSteady -> kBeginning -> [kQuiescing] -> kFencing -> kPromoting -> kCompleting -> kSteady
 //
-// Any state falls back to kSteady when the configuration moves on without this leader, and to kBeginning of
-// a further term when the chosen database can't be promoted.
+// Any phase returns to kSteady when a committed configuration shows a primary or a term that supersedes the
+// change in progress, and the change restarts at kBeginning with a later term when the candidate can't be
+// promoted or a database has seen a later term.
 #pragma once
 
 #include <cstdint>
@@ -20,16 +21,16 @@
 
 namespace pipitpond::failover {
 
-/// One group's coordinator.
+/// Coordinates changes of primary in one group.
 class GroupCoordinator {
  public:
   GroupCoordinator(std::vector<Effect>& effects, const RevisionFollowed& revision_followed)
       : effects_(effects), revision_followed_(revision_followed) {}
 
-  /// Forgets everything but the configuration: a change begun under another leadership is not carried on in
-  /// its term.
+  /// Clears all state except the configuration. A change of primary that another leadership began is not
+  /// continued in its term.
   void reset();
-  /// The group's committed state at a revision, and the owners of its current primary.
+  /// Takes over the group as committed at `revision`, and the daemons that own its current primary.
   void on_configuration(core::Instant now, const protocol::Group& group, std::vector<core::DaemonId> owners,
                         protocol::Revision revision);
   void report(const core::DaemonId& daemon, std::vector<protocol::SuspicionReport> reports);
@@ -45,7 +46,7 @@
  private:
   enum class Phase : std::uint8_t { kSteady, kBeginning, kQuiescing, kFencing, kPromoting, kCompleting };
 
-  /// A fence that is under way or answered.
+  /// State of the fence request to one database.
   struct Fence {
     std::optional<core::Instant> sent;
     std::optional<core::Instant> failed;
@@ -98,14 +99,14 @@
   core::Instant phase_since_;
   core::Instant proposed_at_;
   core::Instant planned_not_before_;
-  std::optional<core::Instant> leaving_since_;  ///< When the primary was first found to be leaving.
-  protocol::Revision begin_revision_ = 0;       ///< At which the change that is in progress was begun.
-  core::Term own_term_ = 0;                     ///< Term that this leadership has proposed to begin; 0: none.
-  core::Term newest_seen_ = 0;                  ///< Greatest term that a database was found to have promised.
-  core::DatabaseId replaced_;                   ///< Primary that the change replaces.
+  std::optional<core::Instant> leaving_since_;  ///< When the primary was first seen to be leaving.
+  protocol::Revision begin_revision_ = 0;       ///< Revision that committed the begin of the current change.
+  core::Term own_term_ = 0;                     ///< Last term that this leadership proposed; 0: none.
+  core::Term newest_seen_ = 0;                  ///< Highest term reported by a database.
+  core::DatabaseId replaced_;                   ///< Primary that the current change replaces.
   std::map<core::DatabaseId, Fence> fences_;
   std::optional<core::Instant> majority_since_;
-  std::set<core::DatabaseId> avoided_;  ///< Failed to become primary during this change.
+  std::set<core::DatabaseId> avoided_;  ///< Candidates whose promotion failed during this change.
   core::DatabaseId candidate_;
   std::optional<core::Instant> promote_sent_;
   std::optional<core::Instant> promote_failed_;
@@ -113,32 +114,33 @@
   core::LogPosition start_;
 };
 
-/// After a majority is fenced, the others get this long to answer before one is chosen. More of them give a
-/// better choice, never a safer one.
+/// Once enough databases are fenced, the others get this long to answer before the new primary is chosen.
+/// More answers improve the choice but do not make it safer.
 inline constexpr core::Duration kFenceGrace = std::chrono::milliseconds(50);
-/// A fence or promotion that failed is sent again after this.
+/// Delay before a failed fence or promote request is sent again.
 inline constexpr core::Duration kRetryDelay = std::chrono::milliseconds(100);
-/// A fence or promotion without any answer is sent again after this.
+/// Time without an answer after which a fence or promote request is sent again.
 inline constexpr core::Duration kAnswerTimeout = std::chrono::milliseconds(400);
-/// A promotion of a group that acknowledges by receipt is ordered from outside and takes this long at most.
+/// Answer timeout of a promotion in a semi-synchronous group, which an external service performs.
 inline constexpr core::Duration kOrderedPromotionTimeout = std::chrono::milliseconds(4000);
-/// A proposal that does not show up in the configuration is made again after this.
+/// Delay before a proposal that has not appeared in the committed configuration is repeated.
 inline constexpr core::Duration kProposalRetry = std::chrono::milliseconds(400);
-/// Promotions of one database in one term before the next term is begun.
+/// Attempts to promote one candidate in a term before the next term is begun.
 inline constexpr std::uint32_t kPromoteAttempts = 3;
-/// Time between the first notice that a primary leaves and the planned change: daemons learn of it and begin
-/// no more transactions there, and those that are open end.
+/// Delay between learning that a primary is leaving and the planned change. Meanwhile daemons learn of it and
+/// stop starting transactions there, and open transactions can finish.
 inline constexpr core::Duration kPlannedChangeNotice = std::chrono::milliseconds(1500);
-/// A planned change leaves the old primary unfenced for at least this long, so that daemons learn of the new
-/// term and send no further writes ...
+/// Minimum time that a planned change leaves the old primary unfenced, so that daemons learn of the new term
+/// and stop sending writes.
 inline constexpr core::Duration kQuiesceMin = std::chrono::milliseconds(60);
-/// ... and until its log is committed, so that writes in progress get their answers, but no longer than this.
+/// Maximum time that a planned change waits for the old primary to commit its log and become idle, so that
+/// writes in progress are answered.
 inline constexpr core::Duration kQuiesceMax = std::chrono::milliseconds(500);
-/// Probing of the old primary meanwhile.
+/// Probe interval of the group's members during that wait.
 inline constexpr core::Duration kQuiesceProbeInterval = std::chrono::milliseconds(20);
-/// Rest between planned changes of one group.
+/// Minimum interval between planned changes in one group.
 inline constexpr core::Duration kPlannedChangeRest = std::chrono::seconds(5);
-/// A replica further behind than this many entries is not healthy enough for a planned change.
+/// Log entries that a replica may lag behind the primary to be eligible in a planned change.
 inline constexpr std::uint64_t kPlannedChangeLag = 1000;
 
 }  // namespace pipitpond::failover
--- a/src/failover/member_watch.hpp
+++ b/src/failover/member_watch.hpp
@@ -1,5 +1,5 @@
-// The control leader's own view of the databases of one group, from its own probes. It confirms or
-// contradicts what owners report, and tells whether a change of primary could succeed at all.
+// The control leader's own probes of the databases of one group. Their results confirm or contradict the
+// reports of the owners, and show whether enough databases are reachable for a change of primary.
 #pragma once
 
 #include <cstddef>
@@ -18,41 +18,41 @@
 /// Probes the members of one group.
 class MemberWatch {
  public:
-  /// Takes over the group's databases; what is known of those that stay is kept.
+  /// Sets the databases to probe. Keeps the results of databases whose endpoint is unchanged.
   void set_members(const protocol::Group& group);
-  /// Forgets all answers, as after a gain of leadership.
+  /// Clears all results, e.g. when leadership is gained.
   void reset();
 
-  /// Appends the probes that are due, one per member and `interval`. An answer that is late because this
-  /// process stood still is not counted as a failure.
+  /// Appends the probes that are due: one per member every `interval`. Probes that time out while this
+  /// process was stalled are not counted as failures.
   void probe(core::Instant now, core::Duration interval, std::vector<Effect>& effects);
   void on_answer(core::Instant now, const database::StatusAnswer& status);
   void on_failure(core::Instant now, const core::DatabaseId& database);
 
-  /// Answered a probe within kFreshAnswer.
+  /// The last probe did not fail, and an answer arrived within kFreshAnswer.
   [[nodiscard]] bool reachable(core::Instant now, const core::DatabaseId& database) const;
-  /// Number of reachable members, `except` one.
+  /// Number of reachable members other than `except`.
   [[nodiscard]] std::size_t count_reachable(core::Instant now, const core::DatabaseId& except = {}) const;
-  /// Failed kProbeFailuresToSuspect probes in a row.
+  /// At least kProbeFailuresToSuspect probes in a row failed.
   [[nodiscard]] bool silent(const core::DatabaseId& database) const;
-  /// Failed its last probe.
+  /// The last probe failed.
   [[nodiscard]] bool doubtful(const core::DatabaseId& database) const;
-  /// Last answer, or null.
+  /// Last probe answer, or null.
   [[nodiscard]] const database::StatusAnswer* status(const core::DatabaseId& database) const;
-  /// True when a reachable member other than `primary` has received entries within kProgressWindow: the
-  /// primary's replication is slow but not cut.
+  /// True when a reachable member other than `primary` has received entries within kProgressWindow, which
+  /// means that replication is slow but not interrupted.
   [[nodiscard]] bool replicas_advance(core::Instant now, const core::DatabaseId& primary) const;
 
  private:
   struct Member {
     core::Endpoint endpoint;
-    std::optional<core::Instant> sent;  ///< Probe without an answer so far.
+    std::optional<core::Instant> sent;  ///< Send time of the probe in flight.
     std::optional<core::Instant> last_sent;
     std::uint32_t failures = 0;
     std::optional<database::StatusAnswer> status;
     core::Instant answered;
     core::Instant first_answered;
-    core::Instant advanced;  ///< When `received` was last seen to have grown.
+    core::Instant advanced;  ///< When `status->received` last advanced.
   };
 
   core::GroupName group_;
@@ -60,9 +60,10 @@
   std::optional<core::Instant> last_probe_call_;
 };
 
-/// An answer of this age or younger shows that the database is reachable.
+/// Maximum age of a probe answer that counts a database as reachable.
 inline constexpr core::Duration kFreshAnswer = std::chrono::milliseconds(700);
-/// A replica that has not received anything for this long, while its primary waits, is cut from it.
+/// A replica that has received nothing for this long while its primary waits for it is taken as disconnected
+/// from the primary.
 inline constexpr core::Duration kProgressWindow = std::chrono::milliseconds(400);
 
 }  // namespace pipitpond::failover
--- a/src/failover/primary_choice.cpp
+++ b/src/failover/primary_choice.cpp
@@ -14,7 +14,7 @@
   return static_cast<std::size_t>(not_further) >= needed;
 }
 
-/// Smaller is better.
+/// Sort key of a safe candidate: lower is preferred.
 auto rank(const FencedMember& member) {
   return std::make_tuple(member.leaving, member.avoided);
 }
--- a/src/failover/primary_choice.hpp
+++ b/src/failover/primary_choice.hpp
@@ -1,4 +1,4 @@
-// Which of the fenced databases of a group becomes its primary.
+// Selects the new primary from the fenced databases of a group.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,26 @@
 
 namespace pipitpond::failover {
 
-/// A database that has promised the new term. Its log can't change any more until the term has a primary.
+/// A database that is fenced at the new term. Its log does not change until the term has a primary.
 struct FencedMember {
   core::DatabaseId database;
-  core::LogPosition received;  ///< Last entry of its log.
-  bool leaving = false;        ///< Being stopped: only chosen when nothing else is safe.
-  bool avoided = false;        ///< Suspected, or failed to become primary before: chosen last but one.
+  core::LogPosition received;  ///< Position of the last entry in its log.
+  bool leaving = false;        ///< Shutting down or draining: chosen only when no other database is safe.
+  bool avoided = false;        ///< The replaced primary, or its promotion failed: preferred to leaving only.
 };
 
-/// Smallest number of databases that is more than half of a group.
+/// Smallest majority of a group of this size.
 constexpr std::size_t majority_of(std::size_t group_size) {
   return group_size / 2 + 1;
 }
 
-/// Databases that must be fenced before one is promoted. `sync_replicas`: replicas that have received a write
-/// before it is acknowledged; 0: the group acknowledges by majority.
+/// Number of databases that must be fenced before one is promoted. `sync_replicas`: replicas that must
+/// receive a write before it is acknowledged (semi-synchronous replication); 0: a write needs a majority of
+/// the group.
 ///
-/// With sync replicas, an acknowledged write is on the primary and that many others. Once all databases but
-/// `sync_replicas` are fenced, one of those is among the fenced, and nothing more can be acknowledged.
+/// With `sync_replicas` > 0, an acknowledged write is on the primary and on that many replicas. Once all but
+/// `sync_replicas` databases are fenced, at least one holder of each acknowledged write is among the fenced,
+/// and no further write can be acknowledged.
 constexpr std::size_t fences_needed(std::size_t group_size, std::size_t sync_replicas) {
   if (sync_replicas == 0) {
     return majority_of(group_size);
@@ -35,14 +37,15 @@
   return group_size > sync_replicas ? group_size - sync_replicas : group_size;
 }
 
-/// The database to promote, or empty while too few are fenced.
+/// Returns the database to promote, or empty while too few are fenced.
 ///
-/// Safe to promote is any database that is at least as far as a majority of the group, itself included. An
-/// acknowledged write is held by a majority; two majorities share a database; that one is no further than the
-/// chosen one, and of two logs the further one contains every committed entry of the other (as in Raft's
-/// election restriction). Among the safe ones, those not leaving and not avoided go first, then the furthest.
-/// With sync replicas, the same holds for fences_needed() instead of a majority: at most `sync_replicas`
-/// databases may be further than the chosen one, and an acknowledged write is on one more.
+/// A database is safe to promote when its log is at least as up to date as those of a majority of the group,
+/// itself included. An acknowledged write is on a majority, and any two majorities share a database; the log
+/// of the shared one is not ahead of the chosen one, and of two logs the more up-to-date one contains every
+/// committed entry of the other (as in Raft's election restriction). Safe databases are ranked by
+/// `leaving`, then `avoided`, then the most up-to-date log. With `sync_replicas` > 0, fences_needed()
+/// replaces the majority: at most `sync_replicas` databases can be ahead of the chosen one, and an
+/// acknowledged write is on one database more than that.
 std::optional<core::DatabaseId> choose_primary(const std::vector<FencedMember>& fenced,
                                                std::size_t group_size, std::size_t sync_replicas = 0);
 
--- a/src/failover/suspicion_tally.hpp
+++ b/src/failover/suspicion_tally.hpp
@@ -1,4 +1,5 @@
-// What the owners of one group's databases report, and whether it is enough to replace the primary.
+// Collects the suspicions that owners report about one group's databases and counts them to decide whether to
+// replace the primary.
 #pragma once
 
 #include <cstddef>
@@ -12,39 +13,39 @@
 
 namespace pipitpond::failover {
 
-/// When each daemon was last heard by this leader.
+/// When this leader last received a heartbeat from each daemon.
 using HeardTable = std::map<core::DaemonId, core::Instant>;
 
-/// Reports about one primary at one term.
+/// Counts of the reports about one primary at one term.
 struct Tally {
-  std::size_t owners = 0;       ///< Owners by the configuration.
-  std::size_t heard = 0;        ///< Of them, heard within kOwnerSilence.
-  std::size_t unreachable = 0;  ///< Of those heard: kUnreachable or kNotPrimary.
-  std::size_t stalled = 0;      ///< Of those heard: kReplicationStalled.
-  bool leaving = false;         ///< Anyone heard it say that it is leaving.
+  std::size_t owners = 0;       ///< Owners of the primary in the configuration.
+  std::size_t heard = 0;        ///< Owners whose last heartbeat is no older than kOwnerSilence.
+  std::size_t unreachable = 0;  ///< Of `heard`: report kUnreachable or kNotPrimary.
+  std::size_t stalled = 0;      ///< Of `heard`: report kReplicationStalled.
+  bool leaving = false;         ///< An owner reports that the primary is leaving.
 
-  /// More than half of all owners have lost the primary.
+  /// More than half of all owners report the primary as unreachable or not primary.
   [[nodiscard]] bool majority_lost() const { return owners > 1 && 2 * unreachable > owners; }
-  /// More than half of all owners mistrust it, for whatever reason.
+  /// More than half of all owners suspect the primary (unreachable, not primary or stalled).
   [[nodiscard]] bool majority_suspects() const { return owners > 1 && 2 * (unreachable + stalled) > owners; }
-  /// A quarter or more of the owners that are still heard have lost the primary.
+  /// At least a quarter of the heard owners report the primary as unreachable or not primary.
   [[nodiscard]] bool part_lost() const { return unreachable > 0 && 4 * unreachable >= heard; }
-  /// More than half of the owners that are still heard mistrust it.
+  /// More than half of the heard owners suspect the primary.
   [[nodiscard]] bool heard_majority_suspects() const {
     return heard > 0 && 2 * (unreachable + stalled) > heard;
   }
 };
 
-/// Keeps the latest reports of each daemon about one group's databases.
+/// Stores the latest reports of each daemon about one group's databases.
 class SuspicionTally {
  public:
-  /// Replaces what the daemon reported before; an empty list withdraws it.
+  /// Replaces the daemon's earlier reports; an empty list withdraws them.
   void report(const core::DaemonId& daemon, std::vector<protocol::SuspicionReport> reports);
   void clear();
-  /// Nobody reports anything.
+  /// True when no daemon reports a suspicion.
   [[nodiscard]] bool empty() const { return reports_.empty(); }
 
-  /// Counts what `owners` say about `primary` at `term`.
+  /// Counts the reports of `owners` about `primary` at `term`.
   [[nodiscard]] Tally count(core::Instant now, const std::vector<core::DaemonId>& owners,
                             const HeardTable& heard, const core::DatabaseId& primary, core::Term term) const;
 
@@ -52,7 +53,7 @@
   std::map<core::DaemonId, std::vector<protocol::SuspicionReport>> reports_;
 };
 
-/// An owner without a heartbeat for this long neither suspects nor trusts: three heartbeats.
+/// An owner without a heartbeat for this long (three heartbeat intervals) is not counted as heard.
 inline constexpr core::Duration kOwnerSilence = std::chrono::milliseconds(1500);
 
 }  // namespace pipitpond::failover
--- a/tests/failover/failover_fleet.cpp
+++ b/tests/failover/failover_fleet.cpp
@@ -22,7 +22,7 @@
   return plan;
 }
 
-/// One write to the database on a connection of its own.
+/// Executes one write on a new connection to the database.
 boost::asio::awaitable<core::Result<experiment::JsonReply>> execute_directly(boost::asio::io_context& io,
                                                                              core::Endpoint database,
                                                                              core::Term term,
@@ -87,7 +87,7 @@
                                  {"key", std::to_string(core::unix_millis_now()) + "-" + id},
                                  {"deadline_ms", 1000}};
     bool done = false;
-    bool never_runs = false;  // The key is settled; a caller would begin anew with another one.
+    bool never_runs = false;  // Final for this key: a retry would need a new key.
     while (!done && !never_runs && !stopping_) {
       const auto reply = call(proxies_[proxy % proxies_.size()], "POST", "/v1/statements", body);
       const std::string outcome = reply && reply->body.is_object() ? reply->body.value("outcome", "") : "";
@@ -105,7 +105,7 @@
   }
 }
 
-// --- The fleet ---------------------------------------------------------------------------------------------
+// --- FailoverFleet -----------------------------------------------------------------------------------------
 
 FailoverFleet::FailoverFleet(std::uint32_t connection_limit)
     : fleet_(start_fleet(failover_plan(connection_limit), folder_)) {}
@@ -188,7 +188,7 @@
     }
   }
   for (const std::string& id : acknowledged) {
-    EXPECT_EQ(times[id], 1) << "of acknowledged write " << id;
+    EXPECT_EQ(times[id], 1) << "log entries of acknowledged write " << id;
   }
 }
 
--- a/tests/failover/failover_fleet.hpp
+++ b/tests/failover/failover_fleet.hpp
@@ -1,5 +1,5 @@
-// A small fleet with writers in the background, to judge failovers from outside: what was acknowledged must
-// be in the final primary's log, once.
+// Test fixture: a small fleet of real processes with concurrent writers. Checks that every acknowledged write
+// is in the final primary's log exactly once.
 #pragma once
 
 #include <atomic>
@@ -17,8 +17,8 @@
 
 namespace pipitpond::testing {
 
-/// Callers that write through all proxies until they are stopped. Each write has a key of its own and is sent
-/// again until it is done.
+/// Threads that write through all proxies until stopped. Each write has its own idempotency key and is
+/// retried until its outcome is `done` or `not_run`.
 class Writers {
  public:
   Writers(std::vector<core::Endpoint> proxies, std::size_t count);
@@ -26,10 +26,10 @@
   Writers(const Writers&) = delete;
   Writers& operator=(const Writers&) = delete;
 
-  /// Ends the writers after their current writes; identifiers of all that were acknowledged.
+  /// Stops the writers after their current request. Returns the identifiers of all acknowledged writes.
   std::vector<std::string> stop();
   [[nodiscard]] std::size_t acknowledged();
-  /// Waits until this many more writes were acknowledged.
+  /// Waits until `count` more writes are acknowledged.
   bool wait_for_more(std::size_t count);
 
  private:
@@ -42,7 +42,8 @@
   std::vector<std::thread> threads_;
 };
 
-/// The fleet: three zones with a proxy each, one group of three databases, all behind fault proxies.
+/// A fleet of three zones with one proxy each and one group of three databases, with fault proxies on all
+/// links.
 class FailoverFleet {
  public:
   explicit FailoverFleet(std::uint32_t connection_limit = 64);
@@ -55,19 +56,19 @@
   std::string primary();
   /// Waits for a primary other than `former`.
   std::string next_primary(const std::string& former);
-  /// The group's term by control's status; 0 when there is no answer.
+  /// The group's term according to the control status; 0 without an answer.
   core::Term term();
-  /// A database's own status.
+  /// Status reported by the database itself, or empty without an answer.
   std::optional<database::StatusAnswer> status_of(const std::string& database);
-  /// One gauge or counter of a database's metrics.
+  /// Value of the database's gauge or counter `pipitpond_database_<name>`. Throws if it is missing.
   std::uint64_t metric(const std::string& database, const std::string& name);
-  /// Writes to a database itself, not through its link, as a caller would that control's word has not
-  /// reached.
+  /// Writes directly to a database, bypassing its fault proxy, like a client that has not learned of a change
+  /// of primary.
   std::optional<experiment::JsonReply> write_directly(const std::string& database, core::Term term,
                                                       const std::string& id);
-  /// Sets a fault of the link, such as "drop" with a probability.
+  /// Injects a fault into a link, e.g. "drop" with a probability.
   void set_fault(const std::string& link, const nlohmann::json& fault);
-  /// Expects each of the writes exactly once in the log of the current primary.
+  /// Expects each of these writes exactly once in the log of the current primary.
   void expect_in_log(const std::vector<std::string>& acknowledged);
 
  private:
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -1,4 +1,4 @@
-// Failover with real processes: primaries that are killed, cut off, frozen or replaced twice.
+// Failover with real processes: the primary is killed, partitioned, frozen or replaced twice in a row.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -11,13 +11,13 @@
 constexpr std::size_t kWriters = 4;
 constexpr std::size_t kSomeWrites = 20;
 
-/// True once the database no longer counts itself as primary of that term.
+/// True once the database no longer reports itself as primary of `term`.
 bool has_stepped_down(FailoverFleet& fleet, const std::string& database, core::Term term) {
   const auto status = fleet.status_of(database);
   return status && (status->role != database::Role::kPrimary || status->term > term);
 }
 
-/// What an old primary must never do with a write of its former term.
+/// Expects that a replaced primary did not acknowledge a write of its former term.
 void expect_refused(const std::optional<experiment::JsonReply>& reply) {
   EXPECT_FALSE(reply && reply->accepted()) << "a replaced primary acknowledged: " << reply->text;
 }
@@ -49,7 +49,7 @@
   fleet.next_primary(frozen);
   ASSERT_TRUE(writers.wait_for_more(kSomeWrites));
 
-  // Waits in the frozen process's sockets, so that it is the first thing that it finds.
+  // The write waits in the frozen process's socket buffer, so that it is read first after the thaw.
   auto waiting =
       std::async(std::launch::async, [&] { return fleet.write_directly(frozen, term, "waiting"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -86,7 +86,7 @@
   expect_refused(fleet.write_directly(cut, term, "after"));
   replaced = true;
   const auto acknowledged = caller.get();
-  EXPECT_GT(acknowledged.size(), 1U) << "the old primary took no write while it was still in office";
+  EXPECT_GT(acknowledged.size(), 1U) << "the old primary acknowledged no write before it was replaced";
   fleet.expect_in_log(acknowledged);
 }
 
--- a/tests/failover/no_failover_test.cpp
+++ b/tests/failover/no_failover_test.cpp
@@ -1,4 +1,4 @@
-// What must not lead to a failover, and what must not exceed a limit when daemons die.
+// Conditions that must not trigger a failover, and connection limits that must hold when daemons die.
 #include <gtest/gtest.h>
 
 #include "failover/failover_fleet.hpp"
@@ -22,7 +22,7 @@
   must(fleet.fleet().call(primary, "POST", "/v1/admin", {{"work_ms", 100}}));
   fleet.set_fault(lossy + ".peers", {{"fault", "drop"}, {"probability", 0.1}});
 
-  // All three are in force: reads of the replicas are far behind, and what is lost on the link is missing.
+  // The faults are in force: both replicas apply far behind, and the lossy one misses entries.
   constexpr std::uint64_t kFarBehind = 20;
   const auto lags = [&](const std::string& replica) {
     const auto status = fleet.status_of(replica);
@@ -35,7 +35,7 @@
     return source && status && source->committed.index > status->received.index + kWriters;
   };
   EXPECT_TRUE(wait_for(misses_entries));
-  // 100 ms each, by four at a time: for 4 s at least, many times what a suspicion takes.
+  // 160 writes of 100 ms each by 4 writers take at least 4 s, many times longer than a suspicion needs.
   constexpr std::size_t kWritesWatched = 160;
   EXPECT_TRUE(writers.wait_for_more(kWritesWatched));
   EXPECT_EQ(fleet.term(), before) << "the group's primary was replaced";
--- a/tests/failover_logic/coordinator_test.cpp
+++ b/tests/failover_logic/coordinator_test.cpp
@@ -19,12 +19,12 @@
   database.reachable_by_owners = false;
 }
 
-/// A group that has found its first primary.
+/// Tests with a group that has its first primary.
 class CoordinatorTest : public testing::Test {
  protected:
   void SetUp() override {
     ASSERT_TRUE(group_.run_until_primary_differs(""));
-    group_.run(seconds(1));  // Until the leader's probes for the first change count no more.
+    group_.run(seconds(1));  // Until the leader's probe answers from the first change have expired.
   }
 
   void expect_no_change_within(core::Duration duration) {
@@ -193,7 +193,7 @@
   EXPECT_TRUE(group.run_until_primary_differs("a"));
 }
 
-/// A coordinator with one group that has no primary, so that each tick has something to do for it.
+/// A coordinator with one group that has no primary, so that each tick of the group produces effects.
 class WatchingCoordinatorTest : public testing::Test {
  protected:
   void SetUp() override {
--- a/tests/failover_logic/daemon_leases_test.cpp
+++ b/tests/failover_logic/daemon_leases_test.cpp
@@ -54,8 +54,8 @@
 }
 
 TEST_F(DaemonLeasesTest, AReturnedDaemonGetsNoLeaseBeforeItHasAppliedItsAdmission) {
-  // Removed and admitted again in the same incarnation, as after a long freeze: by what it knows it still has
-  // the budgets that others have taken over.
+  // Removed and admitted again in the same incarnation, as after a long freeze. In the configuration that the
+  // daemon still uses, it has connection budgets that other daemons have taken over.
   configuration_.revision = 12;
   configuration_.daemons[core::DaemonId("x")].revision = 12;
   leases_.on_configuration(now_, configuration_);
@@ -68,8 +68,9 @@
   EXPECT_GT(leases_.on_heartbeat(now_, returned, true).lease_ms, 0U);
 }
 
-// Seed 1758 of the group world: the removal was proposed, the daemon came back before it was committed, and
-// opened connections while others had taken over its budgets.
+// Guards against exceeded connection limits: the daemon returned after its removal was proposed but before
+// the removal was committed, and opened connections after other daemons had taken over its budgets. Found by
+// the group simulation with seed 1758.
 TEST_F(DaemonLeasesTest, ADaemonThatMayBeRemovedGetsNoLeaseBeforeItIsAdmittedAnew) {
   now_ += kUntilRemoval;
   EXPECT_EQ(heartbeat("x", 10).lease_ms, 0U);
@@ -125,8 +126,8 @@
   EXPECT_TRUE(leases_.removable(now_).empty());
 }
 
-/// Many daemons that come, go, restart and settle at random: the smallest settled revision is always the one
-/// that a look at all of them gives.
+/// Daemons join, leave, restart and settle at random: the lowest settled revision must always equal the
+/// minimum over all daemons.
 TEST(DaemonLeases, SettledEverywhereAgreesWithALookAtAllDaemons) {
   constexpr int kSteps = 2000;
   constexpr int kDaemons = 8;
@@ -165,8 +166,7 @@
   }
 }
 
-// --- Primaries of groups that acknowledge by receipt
-// ---------------------------------------------------------------
+// --- Primaries of semi-synchronous groups ------------------------------------------------------------------
 
 class LeasesAndPrimariesTest : public DaemonLeasesTest {
  protected:
@@ -189,8 +189,8 @@
 };
 
 TEST_F(LeasesAndPrimariesTest, ADaemonThatDoesNotKnowTheNewestPrimaryGetsNoLease) {
-  // Bench, kcbu-counts trouble-1 seed 4: a proxy that was cut off during the change got a lease before it had
-  // fetched the change, and read at the replaced primary.
+  // Guards against stale reads: a proxy that was partitioned during the change of primary got a lease before
+  // it had fetched the change, and read from the replaced primary.
   set_primary(11, 2, "");
   EXPECT_EQ(heartbeat_of("x", 10).lease_ms, 0U);
   EXPECT_GT(heartbeat_of("x", 11).lease_ms, 0U);
@@ -212,10 +212,11 @@
   set_primary(11, 2, "");
   EXPECT_FALSE(leases_.followed_or_expired(now_, 11));
   heartbeat_of("x", 11);
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11)) << "y may still trust the old primary";
+  EXPECT_FALSE(leases_.followed_or_expired(now_, 11)) << "y may still read from the old primary";
   now_ += protocol::kDaemonLease;
   heartbeat_of("x", 11);
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11)) << "the clocks may differ in speed";
+  EXPECT_FALSE(leases_.followed_or_expired(now_, 11))
+      << "clock rates may differ, so the margin has to pass too";
   now_ += protocol::kLeaseClockMargin;
   EXPECT_TRUE(leases_.followed_or_expired(now_, 11));
 }
--- a/tests/failover_logic/database_monitor_test.cpp
+++ b/tests/failover_logic/database_monitor_test.cpp
@@ -23,7 +23,8 @@
     return status;
   }
 
-  /// Ticks for a while; probes get `status` as an answer, or none.
+  /// Ticks for `duration`, answers each probe with `status` (empty: no answer), and returns the number of
+  /// probes.
   int run(core::Duration duration, const std::optional<database::StatusAnswer>& status) {
     int probes = 0;
     for (const core::Instant end = now_ + duration; now_ < end; now_ += kMonitorInterval) {
--- a/tests/failover_logic/example_group.cpp
+++ b/tests/failover_logic/example_group.cpp
@@ -159,7 +159,7 @@
 
 void ExampleGroup::fence(const FenceDatabase& effect) {
   ExampleDatabase& one = databases_.at(effect.database);
-  EXPECT_LE(effect.term, term()) << "fenced at a term that is not committed";
+  EXPECT_LE(effect.term, term()) << "fence sent at a term that is not committed";
   if (!one.reachable) {
     coordinator_->on_fence_failed(now_, kGroup, effect.database, effect.term);
     return;
@@ -179,7 +179,8 @@
 void ExampleGroup::promote(const PromoteDatabase& effect) {
   ExampleDatabase& one = databases_.at(effect.database);
   promoted_[effect.term].insert(effect.database);
-  EXPECT_EQ(promoted_[effect.term].size(), 1U) << "two databases were asked to lead term " << effect.term;
+  EXPECT_EQ(promoted_[effect.term].size(), 1U)
+      << "more than one database was asked to become primary of term " << effect.term;
   EXPECT_EQ(effect.members.size(), 3U);
   if (!one.reachable) {
     coordinator_->on_promote_failed(now_, kGroup, effect.database, effect.term);
--- a/tests/failover_logic/example_group.hpp
+++ b/tests/failover_logic/example_group.hpp
@@ -1,5 +1,5 @@
-// One group with its databases, owners and replicated state, for tests of the coordinator: effects are
-// answered at once or not at all, time moves in ticks.
+// Simulated group with its databases, owners and replicated state, for coordinator tests. Effects are
+// answered immediately or never, and time advances in ticks.
 #pragma once
 
 #include <map>
@@ -15,13 +15,13 @@
 
 namespace pipitpond::failover {
 
-/// A database as the coordinator sees it.
+/// State of a simulated database.
 struct ExampleDatabase {
   core::Term term = 0;
   database::Role role = database::Role::kFenced;
   core::LogPosition received;
-  bool reachable = true;              ///< By control.
-  bool reachable_by_owners = true;    ///< By the daemons.
+  bool reachable = true;              ///< By the control leader.
+  bool reachable_by_owners = true;    ///< By the daemons that own it.
   bool promote_answers_lost = false;  ///< Accepts promotions, but the answer never arrives.
   bool leaving = false;
   std::uint32_t stalled_ms = 0;
@@ -34,22 +34,23 @@
 
   ExampleDatabase& database(const std::string& name) { return databases_[core::DatabaseId(name)]; }
   [[nodiscard]] const protocol::Group& group() const;
-  /// Name of the committed primary, or "".
+  /// Name of the committed primary; empty without one.
   [[nodiscard]] std::string primary() const;
   [[nodiscard]] core::Term term() const;
   [[nodiscard]] std::size_t begins() const { return begins_; }
 
-  /// Runs for this long: owners report what they see with each heartbeat, effects are carried out.
+  /// Advances time by `duration`. Owners report their observations with each heartbeat; effects are executed.
   void run(core::Duration duration);
-  /// Runs until the group has a primary other than `name` (empty: any); false if it takes over ten seconds.
+  /// Runs until the group has a primary other than `name` (empty: any). Returns false after 10 s of simulated
+  /// time.
   bool run_until_primary_differs(const std::string& name);
 
-  /// From now on the owner reports only this, whatever it sees. Empty: nothing.
+  /// Makes the owner send exactly these reports from now on, instead of its observations.
   void force_reports(int owner, std::vector<protocol::SuspicionReport> reports) { forced_[owner] = reports; }
   void silence_owner(int owner) { silent_owners_.insert(owner); }
   void set_draining(const std::string& name, bool draining);
   void drop_proposals(bool drop) { drop_proposals_ = drop; }
-  /// The leader loses its leadership and another one, with the same committed state, takes over.
+  /// Replaces the leader by a new one with the same committed configuration.
   void change_leader();
 
   static protocol::SuspicionReport report(const std::string& name, protocol::Suspicion suspicion,
--- a/tests/failover_logic/receipts_test.cpp
+++ b/tests/failover_logic/receipts_test.cpp
@@ -1,4 +1,4 @@
-// Changes of primary in groups that acknowledge a write once one replica has received it.
+// Changes of primary in semi-synchronous groups, which acknowledge a write once one replica has received it.
 #include <gtest/gtest.h>
 
 #include <rapidcheck/gtest.h>
@@ -29,7 +29,7 @@
 TEST(ChooseWithReceiptsTest, AllButOneMustBeFenced) {
   EXPECT_EQ(fences_needed(3, 1), 2U);
   EXPECT_EQ(fences_needed(4, 1), 3U);
-  EXPECT_EQ(fences_needed(5, 1), 4U) << "a majority of 3 could miss the one replica that has a write";
+  EXPECT_EQ(fences_needed(5, 1), 4U) << "a majority of 3 may not include the only replica that has a write";
   EXPECT_EQ(fences_needed(1, 1), 1U);
   EXPECT_FALSE(choose_primary({fenced("b", 9), fenced("c", 9)}, 4, 1));
 }
@@ -43,9 +43,8 @@
   EXPECT_EQ(choose_primary({fenced("b", 9), fenced("c", 9, true)}, 3, 1), core::DatabaseId("b"));
 }
 
-// The oracle: logs of a primary and its replicas, of which each commit that was acknowledged is on the
-// primary and one replica at least. Whoever is chosen of any set that is fenced has every acknowledged
-// commit.
+// Property: an acknowledged commit is on the primary and at least one replica. Whichever subset of the
+// databases is fenced, the one chosen from it has every acknowledged commit.
 RC_GTEST_PROP(ChooseWithReceiptsProperty, TheChosenOneHasEveryAcknowledgedWrite, ()) {
   const auto size = static_cast<std::size_t>(*rc::gen::inRange(2, 6));
   const auto lengths =
@@ -65,8 +64,8 @@
   }
 }
 
-/// Databases on the platform as the coordinator meets them: held or demoted instead of fenced, promoted from
-/// outside.
+/// Simulated databases that the platform runs: a fence demotes the database or holds its log instead of
+/// raising its term, and an external service promotes.
 class ReceiptsTest : public testing::Test {
  protected:
   struct Database {
@@ -208,7 +207,7 @@
   databases_["a"].reachable = false;
   followed_ = false;
   run(milliseconds(3000), 4);
-  EXPECT_EQ(primary(), "") << "promoted, but not yet given any write";
+  EXPECT_EQ(primary(), "") << "the promoted database must not be committed as primary yet";
   EXPECT_FALSE(promoted_.empty());
   followed_ = true;
   run(milliseconds(500), 4);
@@ -220,7 +219,7 @@
   databases_["a"].reachable = false;
   databases_["c"].reachable = false;
   run(milliseconds(5000), 4);
-  EXPECT_TRUE(promoted_.empty()) << "the other replica may hold the only receipt of a write";
+  EXPECT_TRUE(promoted_.empty()) << "the other replica may hold the only copy of an acknowledged write";
   databases_["c"].reachable = true;
   run(milliseconds(2000), 4);
   EXPECT_NE(primary(), "a");
@@ -255,7 +254,7 @@
 }
 
 TEST_F(ReceiptsTest, AStallIsToldOfAPrimaryThatANewLeaderHasNeverSeen) {
-  // Bench, bmsac-archive scale-1: a new leader of control ended with signal 11.
+  // A new control leader dereferenced the missing status of a primary that it had never reached (signal 11).
   run(milliseconds(500));
   coordinator_.on_leadership(now_, false);
   coordinator_.on_leadership(now_, true);
@@ -287,7 +286,7 @@
   group_.databases[2].departed = true;
   commit();
   run(milliseconds(3000));
-  EXPECT_EQ(group_.databases.size(), 3U) << "its log may hold the only receipt of a write";
+  EXPECT_EQ(group_.databases.size(), 3U) << "its log may hold the only copy of an acknowledged write";
   databases_["b"].received = {1, 80};
   run(milliseconds(1000));
   EXPECT_EQ(group_.databases.size(), 2U);
