--- a/src/failover/coordinator.hpp
+++ b/src/failover/coordinator.hpp
@@ -29,9 +29,9 @@
 /// Coordinates changes of primary in all database groups.
 class Coordinator {
  public:
-  /// `revision_followed` must hold before a new primary is committed in a semi-synchronous group (one with
+  /// `revision_applied` must hold before a new primary is committed in a semi-synchronous group (one with
   /// `sync_replicas` > 0, which acknowledges a write once that many replicas have received it).
-  explicit Coordinator(RevisionFollowed revision_followed = [](core::Instant, protocol::Revision) {
+  explicit Coordinator(RevisionAppliedCheck revision_applied = [](core::Instant, protocol::Revision) {
     return true;
   });
   ~Coordinator();
@@ -61,9 +61,9 @@
                          const database::PromoteAnswer& answer);
   void on_promote_failed(core::Instant now, const core::GroupName& group, const core::DatabaseId& database,
                          core::Term term);
-  /// The database refused a fence or promotion at `term` because it is already fenced at the term `newer`.
+  /// The database refused a fence or promotion at `term` because it is already fenced at `newer_term`.
   void on_refused(core::Instant now, const core::GroupName& group, const core::DatabaseId& database,
-                  core::Term term, core::Term newer);
+                  core::Term term, core::Term newer_term);
 
   /// Call every kTickInterval or more often.
   void tick(core::Instant now);
@@ -75,15 +75,15 @@
   std::vector<Effect> take_effects();
 
  private:
-  GroupCoordinator* find(const core::GroupName& group);
+  GroupCoordinator* find_group(const core::GroupName& group);
 
-  RevisionFollowed revision_followed_;
+  RevisionAppliedCheck revision_applied_;
   bool leading_ = false;
   std::map<core::GroupName, std::unique_ptr<GroupCoordinator>> groups_;
   std::map<core::DatabaseId, core::GroupName> group_of_;
-  std::map<core::DaemonId, core::Instant> heard_;
+  std::map<core::DaemonId, core::Instant> last_heartbeats_;
   /// Groups with a report in each daemon's last list. Reports missing from the next list are withdrawn.
-  std::map<core::DaemonId, std::vector<core::GroupName>> suspected_by_;
+  std::map<core::DaemonId, std::vector<core::GroupName>> reported_groups_;
   protocol::Configuration configuration_;
   ownership::OwnerTable owner_table_;
   std::vector<Effect> effects_;
--- a/src/failover/daemon_leases.cpp
+++ b/src/failover/daemon_leases.cpp
@@ -18,7 +18,7 @@
 void DaemonLeases::on_leadership(core::Instant now, bool leading) {
   leading_ = leading;
   entries_.clear();
-  settled_.clear();
+  settled_counts_.clear();
   if (!leading_) {
     return;
   }
@@ -26,25 +26,25 @@
     Entry entry;
     entry.incarnation = daemon.incarnation;
     entry.last_grant = now;  // The former leader may have granted a lease just before losing leadership.
-    put(id, entry);
+    set_entry(id, entry);
   }
 }
 
 void DaemonLeases::on_configuration(core::Instant now, const protocol::Configuration& configuration) {
   admitted_ = configuration.daemons;
   revision_ = configuration.revision;
-  note_primaries(configuration);
+  update_primaries(configuration);
   if (!leading_) {
     return;
   }
-  std::vector<core::DaemonId> gone;
+  std::vector<core::DaemonId> removed;
   for (const auto& [id, entry] : entries_) {
     if (!admitted_.contains(id)) {
-      gone.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const core::DaemonId& id : gone) {
-    remove(id);
+  for (const core::DaemonId& id : removed) {
+    erase_entry(id);
   }
   for (const auto& [id, daemon] : admitted_) {
     const auto found = entries_.find(id);
@@ -52,7 +52,7 @@
       Entry entry;
       entry.incarnation = daemon.incarnation;
       entry.last_grant = now;
-      put(id, entry);
+      set_entry(id, entry);
     }
   }
 }
@@ -72,29 +72,30 @@
   }
   // The removal of a removable daemon may already be proposed. A lease granted now would still be valid after
   // the removal, when other daemons use its connection budgets. The daemon has to be admitted again instead.
-  const bool stays = admitted && !is_removable(now, found->second);
-  if (stays) {
+  const bool remains_admitted = admitted && !is_removable(now, found->second);
+  if (remains_admitted) {
     Entry entry = found->second;
-    entry.heard = true;
+    entry.heartbeat_received = true;
     entry.last_grant = now;
     entry.settled = std::max(entry.settled, heartbeat.settled);
     entry.applied = std::max(entry.applied, heartbeat.applied);
-    put(found->first, entry);
+    set_entry(found->first, entry);
   }
   // A daemon that was removed and admitted again must have applied its new admission: the configuration from
   // before its removal grants it connection budgets that other daemons have taken over.
-  const bool knows_its_admission = stays && heartbeat.applied >= admitted_.at(heartbeat.daemon).revision;
+  const bool has_applied_admission =
+      remains_admitted && heartbeat.applied >= admitted_.at(heartbeat.daemon).revision;
   // A daemon that was partitioned during a change of primary would use a new lease to read from the replaced
   // primary.
-  const bool knows_primaries = heartbeat.applied >= primaries_revision_;
-  if (knows_its_admission && knows_primaries) {
+  const bool has_applied_primaries = heartbeat.applied >= primaries_revision_;
+  if (has_applied_admission && has_applied_primaries) {
     reply.lease_ms = static_cast<std::uint32_t>(core::to_millis(lease_));
   }
   reply.settled_everywhere = settled_everywhere();
   return reply;
 }
 
-void DaemonLeases::note_primaries(const protocol::Configuration& configuration) {
+void DaemonLeases::update_primaries(const protocol::Configuration& configuration) {
   std::map<core::GroupName, Primary> primaries;
   for (const auto& [name, group] : configuration.groups) {
     if (group.sync_replicas > 0 && !group.terms.empty()) {
@@ -155,39 +156,39 @@
 }
 
 bool DaemonLeases::followed_or_expired(core::Instant now, protocol::Revision revision) const {
-  const core::Duration surely_ended = lease_ + protocol::kLeaseClockMargin;
-  return std::all_of(entries_.begin(), entries_.end(), [&](const auto& one) {
-    const Entry& entry = one.second;
-    return entry.departed || entry.applied >= revision || now - entry.last_grant >= surely_ended;
+  const core::Duration expiry_delay = lease_ + protocol::kLeaseClockMargin;
+  return std::all_of(entries_.begin(), entries_.end(), [&](const auto& id_and_entry) {
+    const Entry& entry = id_and_entry.second;
+    return entry.departed || entry.applied >= revision || now - entry.last_grant >= expiry_delay;
   });
 }
 
 protocol::Revision DaemonLeases::settled_everywhere() const {
-  return settled_.empty() ? revision_ : std::min(revision_, settled_.begin()->first);
+  return settled_counts_.empty() ? revision_ : std::min(revision_, settled_counts_.begin()->first);
 }
 
-void DaemonLeases::put(const core::DaemonId& daemon, const Entry& entry) {
+void DaemonLeases::set_entry(const core::DaemonId& daemon, const Entry& entry) {
   const auto [found, is_new] = entries_.try_emplace(daemon);
   if (!is_new) {
-    count_out(found->second);
+    remove_settled_count(found->second);
   }
   found->second = entry;
-  ++settled_[entry.heard ? entry.settled : 0];
+  ++settled_counts_[entry.heartbeat_received ? entry.settled : 0];
 }
 
-void DaemonLeases::remove(const core::DaemonId& daemon) {
+void DaemonLeases::erase_entry(const core::DaemonId& daemon) {
   const auto found = entries_.find(daemon);
   if (found != entries_.end()) {
-    count_out(found->second);
+    remove_settled_count(found->second);
     entries_.erase(found);
   }
 }
 
-void DaemonLeases::count_out(const Entry& entry) {
-  const auto counted = settled_.find(entry.heard ? entry.settled : 0);
+void DaemonLeases::remove_settled_count(const Entry& entry) {
+  const auto counted = settled_counts_.find(entry.heartbeat_received ? entry.settled : 0);
   --counted->second;
   if (counted->second == 0) {
-    settled_.erase(counted);
+    settled_counts_.erase(counted);
   }
 }
 
--- a/src/failover/daemon_leases.hpp
+++ b/src/failover/daemon_leases.hpp
@@ -64,8 +64,8 @@
  private:
   struct Entry {
     std::uint64_t incarnation = 0;
-    core::Instant last_grant;  ///< Latest possible start of the last lease, on the leader's clock.
-    bool heard = false;        ///< Sent a heartbeat in this incarnation during this leadership.
+    core::Instant last_grant;         ///< Latest possible start of the last lease, on the leader's clock.
+    bool heartbeat_received = false;  ///< Sent a heartbeat in this incarnation during this leadership.
     bool departed = false;
     protocol::Revision settled = 0;
     protocol::Revision applied = 0;
@@ -79,12 +79,12 @@
     bool operator==(const Primary&) const = default;
   };
 
-  void note_primaries(const protocol::Configuration& configuration);
+  void update_primaries(const protocol::Configuration& configuration);
   [[nodiscard]] bool is_removable(core::Instant now, const Entry& entry) const;
-  /// Stores an entry and updates `settled_`.
-  void put(const core::DaemonId& daemon, const Entry& entry);
-  void remove(const core::DaemonId& daemon);
-  void count_out(const Entry& entry);
+  /// Stores an entry and updates `settled_counts_`.
+  void set_entry(const core::DaemonId& daemon, const Entry& entry);
+  void erase_entry(const core::DaemonId& daemon);
+  void remove_settled_count(const Entry& entry);
 
   core::Duration lease_;
   bool leading_ = false;
@@ -96,7 +96,7 @@
   std::map<core::DaemonId, protocol::Daemon> admitted_;
   std::map<core::DaemonId, Entry> entries_;
   /// Number of entries by settled revision, so that the lowest is found without iterating over all entries.
-  std::map<protocol::Revision, std::size_t> settled_;
+  std::map<protocol::Revision, std::size_t> settled_counts_;
 };
 
 }  // namespace pipitpond::failover
--- a/src/failover/database_monitor.cpp
+++ b/src/failover/database_monitor.cpp
@@ -23,9 +23,9 @@
 }
 
 bool DatabaseMonitor::tick(core::Instant now) {
-  const bool stood_still = now - last_tick_ > protocol::kProbeTimeout;
+  const bool process_stalled = now - last_tick_ > protocol::kProbeTimeout;
   last_tick_ = now;
-  if (stood_still && probe_sent_.has_value()) {
+  if (process_stalled && probe_sent_.has_value()) {
     // This process was stalled, so the answer may have arrived but not been read yet.
     probe_sent_.reset();
     probe_at_once_ = true;
@@ -39,9 +39,9 @@
   }
   // A busy primary is still probed every kStatusInterval: data answers carry neither its term nor a
   // replication stall.
-  const bool quiet = now - last_heard_ >= protocol::kProbeInterval;
-  const bool status_old = now - last_status_ >= kStatusInterval;
-  if (!(probe_at_once_ || failures_ > 0 || quiet || status_old)) {
+  const bool idle = now - last_heard_ >= protocol::kProbeInterval;
+  const bool status_outdated = now - last_status_ >= kStatusInterval;
+  if (!(probe_at_once_ || failures_ > 0 || idle || status_outdated)) {
     return false;
   }
   probe_at_once_ = false;
@@ -55,7 +55,7 @@
   last_heard_ = now;
   last_status_ = now;
   status_ = status;
-  judge_status(now);
+  evaluate_status(now);
 }
 
 void DatabaseMonitor::on_probe_failed(core::Instant now, bool refused) {
@@ -83,8 +83,8 @@
   if (!suspicion_.has_value()) {
     return std::nullopt;
   }
-  const auto lasted = static_cast<std::uint32_t>(core::to_millis(now - suspected_since_));
-  return protocol::SuspicionReport{database_, *suspicion_, term_, lasted};
+  const auto duration_ms = static_cast<std::uint32_t>(core::to_millis(now - suspected_since_));
+  return protocol::SuspicionReport{database_, *suspicion_, term_, duration_ms};
 }
 
 void DatabaseMonitor::count_failure(core::Instant now, std::uint32_t failures) {
@@ -94,14 +94,14 @@
   }
 }
 
-void DatabaseMonitor::judge_status(core::Instant now) {
+void DatabaseMonitor::evaluate_status(core::Instant now) {
   if (status_->leaving) {
     suspect(now, protocol::Suspicion::kLeaving);
     return;
   }
   // A database at a later term than the one this daemon knows is part of a change of primary in progress.
-  const bool knows_same_term = status_->term == term_;
-  if (primary_ && knows_same_term && status_->role != database::Role::kPrimary) {
+  const bool same_term = status_->term == term_;
+  if (primary_ && same_term && status_->role != database::Role::kPrimary) {
     suspect(now, protocol::Suspicion::kNotPrimary);
     return;
   }
--- a/src/failover/database_monitor.hpp
+++ b/src/failover/database_monitor.hpp
@@ -48,7 +48,7 @@
 
  private:
   void count_failure(core::Instant now, std::uint32_t failures);
-  void judge_status(core::Instant now);
+  void evaluate_status(core::Instant now);
   void suspect(core::Instant now, protocol::Suspicion suspicion);
 
   core::DatabaseId database_;
--- a/src/failover/departure_watch.cpp
+++ b/src/failover/departure_watch.cpp
@@ -4,28 +4,30 @@
 
 namespace pipitpond::failover {
 
-bool DepartureWatch::needed(const protocol::Group& group) {
+bool DepartedDatabaseRemoval::has_departed_database(const protocol::Group& group) {
   return std::any_of(group.databases.begin(), group.databases.end(),
-                     [](const protocol::Database& one) { return one.departed; });
+                     [](const protocol::Database& database) { return database.departed; });
 }
 
-void DepartureWatch::tick(core::Instant now, const protocol::Group& group, const core::DatabaseId& primary,
-                          const MemberWatch& watch, std::vector<Effect>& effects) {
-  const database::StatusAnswer* status = watch.status(primary);
-  if (status == nullptr || !watch.reachable(now, primary)) {
+void DepartedDatabaseRemoval::tick(core::Instant now, const protocol::Group& group,
+                                   const core::DatabaseId& primary, const MemberProbes& probes,
+                                   std::vector<Effect>& effects) {
+  const database::StatusAnswer* status = probes.status(primary);
+  if (status == nullptr || !probes.reachable(now, primary)) {
     return;
   }
   for (const protocol::Database& departed : group.databases) {
-    if (!departed.departed || departed.id == primary || !watch.silent(departed.id)) {
-      held_by_primary_.erase(departed.id);
+    if (!departed.departed || departed.id == primary || !probes.suspected_unreachable(departed.id)) {
+      primary_positions_.erase(departed.id);
       continue;
     }
-    const core::LogPosition held = held_by_primary_.try_emplace(departed.id, status->received).first->second;
+    const core::LogPosition primary_position =
+        primary_positions_.try_emplace(departed.id, status->received).first->second;
     const bool caught_up =
         std::any_of(group.databases.begin(), group.databases.end(), [&](const protocol::Database& other) {
-          const database::StatusAnswer* seen = watch.status(other.id);
-          return other.id != primary && !other.departed && watch.reachable(now, other.id) &&
-                 seen != nullptr && seen->received >= held;
+          const database::StatusAnswer* other_status = probes.status(other.id);
+          return other.id != primary && !other.departed && probes.reachable(now, other.id) &&
+                 other_status != nullptr && other_status->received >= primary_position;
         });
     if (caught_up) {
       effects.emplace_back(ProposeRemove{departed.id});
--- a/src/failover/departure_watch.hpp
+++ b/src/failover/departure_watch.hpp
@@ -16,19 +16,19 @@
 namespace pipitpond::failover {
 
 /// Tracks the departed databases of one group.
-class DepartureWatch {
+class DepartedDatabaseRemoval {
  public:
   /// True while the group has a departed database; its members must be probed then.
-  static bool needed(const protocol::Group& group);
+  static bool has_departed_database(const protocol::Group& group);
   /// Appends a removal for each departed database that can go. `primary`: the group's current primary.
   void tick(core::Instant now, const protocol::Group& group, const core::DatabaseId& primary,
-            const MemberWatch& watch, std::vector<Effect>& effects);
+            const MemberProbes& probes, std::vector<Effect>& effects);
   /// Call when the primary has changed: the recorded positions refer to the log of the former primary.
-  void reset() { held_by_primary_.clear(); }
+  void reset() { primary_positions_.clear(); }
 
  private:
   /// Last position of the primary's log when first seen after the departed database stopped answering.
-  std::map<core::DatabaseId, core::LogPosition> held_by_primary_;
+  std::map<core::DatabaseId, core::LogPosition> primary_positions_;
 };
 
 }  // namespace pipitpond::failover
--- a/src/failover/effects.hpp
+++ b/src/failover/effects.hpp
@@ -17,7 +17,7 @@
 
 /// Returns true once no daemon can act on a configuration older than `revision`: each daemon has applied the
 /// revision or no longer holds a lease.
-using RevisionFollowed = std::function<bool(core::Instant now, protocol::Revision revision)>;
+using RevisionAppliedCheck = std::function<bool(core::Instant now, protocol::Revision revision)>;
 
 /// Sends GET /v1/status. Report the result with on_probe_answer or on_probe_failed.
 struct ProbeDatabase {
--- a/src/failover/group_coordinator.cpp
+++ b/src/failover/group_coordinator.cpp
@@ -9,11 +9,11 @@
 namespace pipitpond::failover {
 
 void GroupCoordinator::reset() {
-  watch_.reset();
-  departures_.reset();
+  probes_.reset();
+  departed_removal_.reset();
   tally_.clear();
-  own_term_ = 0;
-  planned_not_before_ = {};
+  proposed_term_ = 0;
+  earliest_planned_change_ = {};
   enter_steady();
 }
 
@@ -21,10 +21,10 @@
   phase_ = Phase::kSteady;
   leaving_since_.reset();
   planned_ = false;
-  replaced_ = {};
+  replaced_primary_ = {};
   fences_.clear();
-  majority_since_.reset();
-  avoided_.clear();
+  fence_quorum_since_.reset();
+  failed_candidates_.clear();
   candidate_ = {};
 }
 
@@ -33,24 +33,24 @@
   const core::Term term_before = last_term();
   group_ = group;
   owners_ = std::move(owners);
-  watch_.set_members(group_);
+  probes_.set_members(group_);
   if (has_primary()) {
-    if (phase_ != Phase::kSteady && last_term() >= own_term_) {
+    if (phase_ != Phase::kSteady && last_term() >= proposed_term_) {
       enter_steady();
-      watch_.reset();  // Probe answers of the new primary date from before its promotion.
-      departures_.reset();
+      probes_.reset();  // Probe answers of the new primary date from before its promotion.
+      departed_removal_.reset();
     }
     return;
   }
-  const bool own_begin = phase_ == Phase::kBeginning && last_term() == own_term_;
-  if (own_begin) {
+  const bool proposed_term_begun = phase_ == Phase::kBeginning && last_term() == proposed_term_;
+  if (proposed_term_begun) {
     begin_revision_ = revision;
   }
-  if (own_begin && planned_) {
+  if (proposed_term_begun && planned_) {
     start_quiescing(now);
-  } else if (own_begin) {
+  } else if (proposed_term_begun) {
     start_fencing(now);
-  } else if (last_term() != term_before && last_term() != own_term_) {
+  } else if (last_term() != term_before && last_term() != proposed_term_) {
     // Another leadership began this term and may have sent promotions that are unknown here, so no database
     // may be promoted in it. tick() begins the next term.
     enter_steady();
@@ -62,36 +62,37 @@
 }
 
 void GroupCoordinator::on_probe_answer(core::Instant now, const database::StatusAnswer& status) {
-  watch_.on_answer(now, status);
-  newest_seen_ = std::max(newest_seen_, status.term);
+  probes_.on_answer(now, status);
+  highest_seen_term_ = std::max(highest_seen_term_, status.term);
 }
 
 void GroupCoordinator::on_probe_failed(core::Instant now, const core::DatabaseId& database) {
-  watch_.on_failure(now, database);
+  probes_.on_failure(now, database);
 }
 
-void GroupCoordinator::tick(core::Instant now, const HeardTable& heard) {
+void GroupCoordinator::tick(core::Instant now, const LastHeartbeats& last_heartbeats) {
   if (group_.databases.empty()) {
     return;
   }
-  if (should_watch()) {
-    watch_.probe(now, phase_ == Phase::kQuiescing ? kQuiesceProbeInterval : protocol::kProbeInterval,
-                 effects_);
+  if (should_probe()) {
+    probes_.probe(now, phase_ == Phase::kQuiescing ? kQuiesceProbeInterval : protocol::kProbeInterval,
+                  effects_);
   }
   switch (phase_) {
     case Phase::kSteady:
       if (never_had_a_primary()) {
         adopt_primary(now);
-      } else if (change_is_due(now, heard)) {
+      } else if (change_is_due(now, last_heartbeats)) {
         begin(now, false);
-      } else if (planned_change_is_due(now, tally_.count(now, owners_, heard, primary(), last_term()))) {
+      } else if (planned_change_is_due(now,
+                                       tally_.count(now, owners_, last_heartbeats, primary(), last_term()))) {
         begin(now, true);
       } else if (has_primary()) {
-        departures_.tick(now, group_, primary(), watch_, effects_);
+        departed_removal_.tick(now, group_, primary(), probes_, effects_);
       }
       break;
     case Phase::kBeginning:
-      if (now - proposed_at_ >= kProposalRetry) {
+      if (now - proposed_at_ >= kProposalRetryInterval) {
         propose_begin(now);
       }
       break;
@@ -106,7 +107,7 @@
       promote(now);
       break;
     case Phase::kCompleting:
-      if (now - proposed_at_ >= kProposalRetry || acknowledges_by_receipt()) {
+      if (now - proposed_at_ >= kProposalRetryInterval || is_semi_synchronous()) {
         propose_complete(now);
       }
       break;
@@ -118,13 +119,13 @@
 }
 
 core::Duration GroupCoordinator::promote_timeout() const {
-  return acknowledges_by_receipt() ? kOrderedPromotionTimeout : kAnswerTimeout;
+  return is_semi_synchronous() ? kExternalPromotionTimeout : kAnswerTimeout;
 }
 
 core::Duration GroupCoordinator::planned_change_notice() const {
   // In a semi-synchronous group, daemons keep using a leaving primary until the change begins, so waiting
   // does not drain its transactions.
-  return acknowledges_by_receipt() ? core::Duration::zero() : kPlannedChangeNotice;
+  return is_semi_synchronous() ? core::Duration::zero() : kPlannedChangeNotice;
 }
 
 // --- First primary of a self-registered group --------------------------------------------------------------
@@ -135,10 +136,10 @@
 
 void GroupCoordinator::adopt_primary(core::Instant now) {
   for (const protocol::Database& database : group_.databases) {
-    const database::StatusAnswer* status = watch_.status(database.id);
-    const bool leads =
-        status != nullptr && status->role == database::Role::kPrimary && watch_.reachable(now, database.id);
-    if (leads) {
+    const database::StatusAnswer* status = probes_.status(database.id);
+    const bool is_primary =
+        status != nullptr && status->role == database::Role::kPrimary && probes_.reachable(now, database.id);
+    if (is_primary) {
       effects_.emplace_back(ProposeAdopt{group_.name, status->term, database.id});
       return;
     }
@@ -147,15 +148,15 @@
 
 // --- Failure detection -------------------------------------------------------------------------------------
 
-bool GroupCoordinator::should_watch() const {
+bool GroupCoordinator::should_probe() const {
   const bool draining = has_primary() && member(primary()) != nullptr && member(primary())->draining;
   return !has_primary() || phase_ != Phase::kSteady || !tally_.empty() || owners_.size() < 2 || draining ||
-         DepartureWatch::needed(group_);
+         DepartedDatabaseRemoval::has_departed_database(group_);
 }
 
-bool GroupCoordinator::change_is_due(core::Instant now, const HeardTable& heard) const {
+bool GroupCoordinator::change_is_due(core::Instant now, const LastHeartbeats& last_heartbeats) const {
   // A change that can't fence enough databases would leave the group without a primary for longer.
-  if (watch_.count_reachable(now) < fences_needed()) {
+  if (probes_.count_reachable(now) < fences_needed()) {
     return false;
   }
   if (!has_primary()) {
@@ -164,97 +165,98 @@
   if (member(primary()) == nullptr) {
     return true;  // An operator has removed the primary from the group.
   }
-  const Tally tally = tally_.count(now, owners_, heard, primary(), last_term());
-  if (tally.majority_lost()) {
+  const SuspicionCounts counts = tally_.count(now, owners_, last_heartbeats, primary(), last_term());
+  if (counts.majority_lost_primary()) {
     return true;
   }
   // In a semi-synchronous group, one failed probe by the leader confirms the suspicion of a majority of
   // owners.
-  const bool doubted_too = acknowledges_by_receipt() && watch_.doubtful(primary());
-  const bool leader_agrees = leader_lost_primary(now) || stall_confirmed(now) || doubted_too;
-  if (tally.majority_suspects() || tally.heard_majority_suspects()) {
+  const bool leader_probe_failed = is_semi_synchronous() && probes_.last_probe_failed(primary());
+  const bool leader_agrees = leader_lost_primary(now) || stall_confirmed(now) || leader_probe_failed;
+  if (counts.majority_suspects() || counts.heard_majority_suspects()) {
     return leader_agrees;
   }
   // Partial partition: some callers can't write, and the leader can't reach the primary either. A new primary
   // serves all callers.
-  const bool cut_in_part = acknowledges_by_receipt() && tally.part_lost() && leader_lost_primary(now);
+  const bool partially_partitioned =
+      is_semi_synchronous() && counts.quarter_lost_primary() && leader_lost_primary(now);
   // Only owners with writes in progress notice a stall, so one report suffices when the leader confirms it.
-  const bool no_receipts = acknowledges_by_receipt() && tally.stalled > 0 && receipts_missing(now);
-  return cut_in_part || no_receipts ||
-         (tally.owners == 0 && (leader_lost_primary(now) || stall_confirmed(now)));
+  const bool acks_missing = is_semi_synchronous() && counts.stalled > 0 && replica_acks_missing(now);
+  return partially_partitioned || acks_missing ||
+         (counts.owners == 0 && (leader_lost_primary(now) || stall_confirmed(now)));
 }
 
 bool GroupCoordinator::leader_lost_primary(core::Instant now) const {
-  if (watch_.silent(primary())) {
+  if (probes_.suspected_unreachable(primary())) {
     return true;
   }
-  const database::StatusAnswer* status = watch_.status(primary());
+  const database::StatusAnswer* status = probes_.status(primary());
   // A semi-synchronous group counts its own terms, which may be behind those of the configuration.
-  const bool of_this_term = acknowledges_by_receipt() || (status != nullptr && status->term >= last_term());
-  return status != nullptr && watch_.reachable(now, primary()) && of_this_term &&
+  const bool is_current_term = is_semi_synchronous() || (status != nullptr && status->term >= last_term());
+  return status != nullptr && probes_.reachable(now, primary()) && is_current_term &&
          status->role != database::Role::kPrimary;
 }
 
 bool GroupCoordinator::stall_confirmed(core::Instant now) const {
-  const database::StatusAnswer* status = watch_.status(primary());
-  if (status == nullptr || !watch_.reachable(now, primary())) {
+  const database::StatusAnswer* status = probes_.status(primary());
+  if (status == nullptr || !probes_.reachable(now, primary())) {
     return false;
   }
-  if (acknowledges_by_receipt()) {
-    return receipts_missing(now);
+  if (is_semi_synchronous()) {
+    return replica_acks_missing(now);
   }
   const bool stalled = status->replication_stalled_ms >= core::to_millis(protocol::kReplicationStallLimit);
   // Without a majority of other reachable databases no replica can take over. While replicas advance,
   // replication is slow but not stalled.
   const bool others_can_serve =
-      watch_.count_reachable(now, primary()) >= majority_of(group_.databases.size());
-  return stalled && others_can_serve && !watch_.replicas_advance(now, primary());
+      probes_.count_reachable(now, primary()) >= majority_of(group_.databases.size());
+  return stalled && others_can_serve && !probes_.replicas_advancing(now, primary());
 }
 
 /// True when no replica holds the primary's last log entry and none advances although enough replicas are
 /// reachable: writes on the primary wait for replica acknowledgements.
-bool GroupCoordinator::receipts_missing(core::Instant now) const {
-  const database::StatusAnswer* status = watch_.status(primary());
-  if (status == nullptr || !watch_.reachable(now, primary())) {
+bool GroupCoordinator::replica_acks_missing(core::Instant now) const {
+  const database::StatusAnswer* status = probes_.status(primary());
+  if (status == nullptr || !probes_.reachable(now, primary())) {
     return false;
   }
   const bool all_behind =
       std::all_of(group_.databases.begin(), group_.databases.end(), [&](const protocol::Database& other) {
-        const database::StatusAnswer* seen = watch_.status(other.id);
-        return other.id == primary() || seen == nullptr || seen->received < status->received;
+        const database::StatusAnswer* other_status = probes_.status(other.id);
+        return other.id == primary() || other_status == nullptr || other_status->received < status->received;
       });
-  return all_behind && watch_.count_reachable(now, primary()) >= fences_needed() &&
-         !watch_.replicas_advance(now, primary());
+  return all_behind && probes_.count_reachable(now, primary()) >= fences_needed() &&
+         !probes_.replicas_advancing(now, primary());
 }
 
-bool GroupCoordinator::primary_is_leaving(const Tally& tally) const {
-  const protocol::Database* declared = member(primary());
-  const database::StatusAnswer* status = watch_.status(primary());
-  return (declared != nullptr && declared->draining) || tally.leaving ||
+bool GroupCoordinator::primary_is_leaving(const SuspicionCounts& counts) const {
+  const protocol::Database* configured = member(primary());
+  const database::StatusAnswer* status = probes_.status(primary());
+  return (configured != nullptr && configured->draining) || counts.leaving ||
          (status != nullptr && status->leaving);
 }
 
-bool GroupCoordinator::planned_change_is_due(core::Instant now, const Tally& tally) {
-  if (!has_primary() || !primary_is_leaving(tally)) {
+bool GroupCoordinator::planned_change_is_due(core::Instant now, const SuspicionCounts& counts) {
+  if (!has_primary() || !primary_is_leaving(counts)) {
     leaving_since_.reset();
     return false;
   }
   if (!leaving_since_) {
     leaving_since_ = now;
   }
-  if (now < planned_not_before_ || now - *leaving_since_ < planned_change_notice()) {
+  if (now < earliest_planned_change_ || now - *leaving_since_ < planned_change_notice()) {
     return false;
   }
-  const database::StatusAnswer* current = watch_.status(primary());
-  if (current == nullptr || !watch_.reachable(now, primary()) ||
-      watch_.count_reachable(now) < fences_needed()) {
+  const database::StatusAnswer* primary_status = probes_.status(primary());
+  if (primary_status == nullptr || !probes_.reachable(now, primary()) ||
+      probes_.count_reachable(now) < fences_needed()) {
     return false;
   }
   return std::any_of(group_.databases.begin(), group_.databases.end(), [&](const protocol::Database& other) {
-    const database::StatusAnswer* status = watch_.status(other.id);
+    const database::StatusAnswer* status = probes_.status(other.id);
     return other.id != primary() && !other.draining && !other.departed && status != nullptr &&
-           !status->leaving && watch_.reachable(now, other.id) &&
-           status->received.index + kPlannedChangeLag >= current->received.index;
+           !status->leaving && probes_.reachable(now, other.id) &&
+           status->received.index + kPlannedChangeMaxLagEntries >= primary_status->received.index;
   });
 }
 
@@ -264,18 +266,18 @@
   phase_ = Phase::kBeginning;
   planned_ = planned;
   if (has_primary()) {
-    replaced_ = primary();
+    replaced_primary_ = primary();
   }
   if (planned) {
-    planned_not_before_ = now + kPlannedChangeRest;
+    earliest_planned_change_ = now + kPlannedChangeMinInterval;
   }
-  own_term_ = std::max({last_term(), newest_seen_, own_term_}) + 1;
+  proposed_term_ = std::max({last_term(), highest_seen_term_, proposed_term_}) + 1;
   propose_begin(now);
 }
 
 void GroupCoordinator::propose_begin(core::Instant now) {
   proposed_at_ = now;
-  effects_.emplace_back(ProposeBegin{group_.name, last_term(), own_term_});
+  effects_.emplace_back(ProposeBegin{group_.name, last_term(), proposed_term_});
 }
 
 // --- Quiesce a leaving primary -----------------------------------------------------------------------------
@@ -287,10 +289,10 @@
 
 void GroupCoordinator::quiesce(core::Instant now) {
   const core::Duration waited = now - phase_since_;
-  const database::StatusAnswer* status = watch_.status(replaced_);
+  const database::StatusAnswer* status = probes_.status(replaced_primary_);
   const bool idle = status != nullptr && status->received == status->committed && status->slots_in_use == 0;
-  const bool gone = !watch_.reachable(now, replaced_);
-  if (waited >= kQuiesceMax || gone || (waited >= kQuiesceMin && idle)) {
+  const bool unreachable = !probes_.reachable(now, replaced_primary_);
+  if (waited >= kMaxQuiesceTime || unreachable || (waited >= kMinQuiesceTime && idle)) {
     start_fencing(now);
   }
 }
@@ -301,30 +303,30 @@
   phase_ = Phase::kFencing;
   phase_since_ = now;
   fences_.clear();
-  majority_since_.reset();
+  fence_quorum_since_.reset();
   send_fences(now);
 }
 
 void GroupCoordinator::send_fences(core::Instant now) {
   for (const protocol::Database& database : group_.databases) {
     Fence& fence = fences_[database.id];
-    const bool waiting = fence.sent.has_value() && now - *fence.sent < kAnswerTimeout;
-    const bool resting = fence.failed.has_value() && now - *fence.failed < kRetryDelay;
-    if (fence.answer.has_value() || waiting || resting) {
+    const bool awaiting_answer = fence.sent.has_value() && now - *fence.sent < kAnswerTimeout;
+    const bool backing_off = fence.failed.has_value() && now - *fence.failed < kRetryDelay;
+    if (fence.answer.has_value() || awaiting_answer || backing_off) {
       continue;
     }
     fence.sent = now;
-    effects_.emplace_back(FenceDatabase{group_.name, database.id, database.endpoint, own_term_});
+    effects_.emplace_back(FenceDatabase{group_.name, database.id, database.endpoint, proposed_term_});
   }
 }
 
 void GroupCoordinator::on_fence_answer(core::Instant now, const database::FenceAnswer& answer) {
-  if (phase_ != Phase::kFencing || answer.term != own_term_ || member(answer.database) == nullptr) {
+  if (phase_ != Phase::kFencing || answer.term != proposed_term_ || member(answer.database) == nullptr) {
     return;
   }
-  if (answer.received.term >= own_term_) {
+  if (answer.received.term >= proposed_term_) {
     // The log has entries of this term, so it already has a primary that this leadership did not choose.
-    newest_seen_ = std::max(newest_seen_, answer.received.term);
+    highest_seen_term_ = std::max(highest_seen_term_, answer.received.term);
     begin(now, false);
     return;
   }
@@ -333,7 +335,7 @@
 }
 
 void GroupCoordinator::on_fence_failed(core::Instant now, const core::DatabaseId& database, core::Term term) {
-  if (phase_ != Phase::kFencing || term != own_term_) {
+  if (phase_ != Phase::kFencing || term != proposed_term_) {
     return;
   }
   Fence& fence = fences_[database];
@@ -342,15 +344,16 @@
   choose_when_fenced(now);
 }
 
-bool GroupCoordinator::worth_waiting(core::Instant now) const {
-  if (now - *majority_since_ >= kFenceGrace) {
+bool GroupCoordinator::should_await_more_fences(core::Instant now) const {
+  if (now - *fence_quorum_since_ >= kFenceGracePeriod) {
     return false;
   }
-  return std::any_of(group_.databases.begin(), group_.databases.end(), [&](const protocol::Database& one) {
-    const auto fence = fences_.find(one.id);
-    const bool open = fence == fences_.end() || (!fence->second.answer && !fence->second.failed);
-    return open && watch_.reachable(now, one.id);
-  });
+  return std::any_of(
+      group_.databases.begin(), group_.databases.end(), [&](const protocol::Database& database) {
+        const auto fence = fences_.find(database.id);
+        const bool pending = fence == fences_.end() || (!fence->second.answer && !fence->second.failed);
+        return pending && probes_.reachable(now, database.id);
+      });
 }
 
 void GroupCoordinator::choose_when_fenced(core::Instant now) {
@@ -360,20 +363,20 @@
     if (fence == fences_.end() || !fence->second.answer.has_value()) {
       continue;
     }
-    FencedMember one;
-    one.database = database.id;
-    one.received = fence->second.answer->received;
-    one.leaving = database.draining || fence->second.answer->leaving;
-    one.avoided = database.id == replaced_ || avoided_.contains(database.id);
-    fenced.push_back(one);
+    FencedMember fenced_member;
+    fenced_member.database = database.id;
+    fenced_member.received = fence->second.answer->received;
+    fenced_member.leaving = database.draining || fence->second.answer->leaving;
+    fenced_member.avoided = database.id == replaced_primary_ || failed_candidates_.contains(database.id);
+    fenced.push_back(fenced_member);
   }
   if (fenced.size() < fences_needed()) {
     return;
   }
-  if (!majority_since_.has_value()) {
-    majority_since_ = now;
+  if (!fence_quorum_since_.has_value()) {
+    fence_quorum_since_ = now;
   }
-  if (worth_waiting(now)) {
+  if (should_await_more_fences(now)) {
     return;
   }
   const std::optional<core::DatabaseId> chosen =
@@ -393,47 +396,47 @@
 // --- Promote -----------------------------------------------------------------------------------------------
 
 void GroupCoordinator::promote(core::Instant now) {
-  const bool waiting = promote_sent_.has_value() && now - *promote_sent_ < promote_timeout();
-  const bool resting = promote_failed_.has_value() && now - *promote_failed_ < kRetryDelay;
-  if (waiting || resting) {
+  const bool awaiting_answer = promote_sent_.has_value() && now - *promote_sent_ < promote_timeout();
+  const bool backing_off = promote_failed_.has_value() && now - *promote_failed_ < kRetryDelay;
+  if (awaiting_answer || backing_off) {
     return;
   }
   const protocol::Database* chosen = member(candidate_);
   if (promote_attempts_ >= kPromoteAttempts || chosen == nullptr) {
-    give_up_candidate(now);
+    abandon_candidate(now);
     return;
   }
   ++promote_attempts_;
   promote_sent_ = now;
   promote_failed_.reset();
-  PromoteDatabase effect{group_.name, chosen->id, chosen->endpoint, own_term_, {}};
+  PromoteDatabase effect{group_.name, chosen->id, chosen->endpoint, proposed_term_, {}};
   for (const protocol::Database& database : group_.databases) {
     effect.members.push_back(database::Member{database.id, database.endpoint});
   }
   effects_.emplace_back(std::move(effect));
 }
 
-void GroupCoordinator::give_up_candidate(core::Instant now) {
+void GroupCoordinator::abandon_candidate(core::Instant now) {
   // The candidate may have accepted the promotion without its answer arriving, and may act as primary of this
   // term. Another database may be promoted only in a later term, whose fences stop this candidate.
-  avoided_.insert(candidate_);
+  failed_candidates_.insert(candidate_);
   begin(now, false);
 }
 
 void GroupCoordinator::on_promote_answer(core::Instant now, const database::PromoteAnswer& answer) {
-  if (phase_ != Phase::kPromoting || answer.term != own_term_ || answer.database != candidate_) {
+  if (phase_ != Phase::kPromoting || answer.term != proposed_term_ || answer.database != candidate_) {
     return;
   }
-  start_ = answer.start;
+  term_start_ = answer.start;
   phase_ = Phase::kCompleting;
   phase_since_ = now;
-  proposed_at_ = now - kProposalRetry;
+  proposed_at_ = now - kProposalRetryInterval;
   propose_complete(now);
 }
 
 void GroupCoordinator::on_promote_failed(core::Instant now, const core::DatabaseId& database,
                                          core::Term term) {
-  if (phase_ != Phase::kPromoting || term != own_term_ || database != candidate_) {
+  if (phase_ != Phase::kPromoting || term != proposed_term_ || database != candidate_) {
     return;
   }
   promote_sent_.reset();
@@ -441,11 +444,11 @@
 }
 
 void GroupCoordinator::on_refused(core::Instant now, const core::DatabaseId& database, core::Term term,
-                                  core::Term newer) {
-  newest_seen_ = std::max(newest_seen_, newer);
+                                  core::Term newer_term) {
+  highest_seen_term_ = std::max(highest_seen_term_, newer_term);
   const bool fencing = phase_ == Phase::kFencing;
   const bool promoting = phase_ == Phase::kPromoting && database == candidate_;
-  if (term != own_term_ || !(fencing || promoting)) {
+  if (term != proposed_term_ || !(fencing || promoting)) {
     return;
   }
   begin(now, false);
@@ -456,12 +459,12 @@
 void GroupCoordinator::propose_complete(core::Instant now) {
   // In a semi-synchronous group, fencing does not stop reads on the old primary. Every daemon must have
   // applied the begin of the change, or lost its lease, before the new primary can acknowledge a write.
-  const bool too_early = acknowledges_by_receipt() && !revision_followed_(now, begin_revision_);
-  if (too_early || now - proposed_at_ < kProposalRetry) {
+  const bool too_early = is_semi_synchronous() && !revision_applied_(now, begin_revision_);
+  if (too_early || now - proposed_at_ < kProposalRetryInterval) {
     return;
   }
   proposed_at_ = now;
-  effects_.emplace_back(ProposeComplete{group_.name, own_term_, candidate_, start_});
+  effects_.emplace_back(ProposeComplete{group_.name, proposed_term_, candidate_, term_start_});
 }
 
 // --- Committed state ---------------------------------------------------------------------------------------
@@ -480,7 +483,7 @@
 
 const protocol::Database* GroupCoordinator::member(const core::DatabaseId& database) const {
   const auto found = std::find_if(group_.databases.begin(), group_.databases.end(),
-                                  [&](const protocol::Database& one) { return one.id == database; });
+                                  [&](const protocol::Database& other) { return other.id == database; });
   return found == group_.databases.end() ? nullptr : &*found;
 }
 
--- a/src/failover/group_coordinator.hpp
+++ b/src/failover/group_coordinator.hpp
@@ -24,8 +24,8 @@
 /// Coordinates changes of primary in one group.
 class GroupCoordinator {
  public:
-  GroupCoordinator(std::vector<Effect>& effects, const RevisionFollowed& revision_followed)
-      : effects_(effects), revision_followed_(revision_followed) {}
+  GroupCoordinator(std::vector<Effect>& effects, const RevisionAppliedCheck& revision_applied)
+      : effects_(effects), revision_applied_(revision_applied) {}
 
   /// Clears all state except the configuration. A change of primary that another leadership began is not
   /// continued in its term.
@@ -40,8 +40,9 @@
   void on_fence_failed(core::Instant now, const core::DatabaseId& database, core::Term term);
   void on_promote_answer(core::Instant now, const database::PromoteAnswer& answer);
   void on_promote_failed(core::Instant now, const core::DatabaseId& database, core::Term term);
-  void on_refused(core::Instant now, const core::DatabaseId& database, core::Term term, core::Term newer);
-  void tick(core::Instant now, const HeardTable& heard);
+  void on_refused(core::Instant now, const core::DatabaseId& database, core::Term term,
+                  core::Term newer_term);
+  void tick(core::Instant now, const LastHeartbeats& last_heartbeats);
 
  private:
   enum class Phase : std::uint8_t { kSteady, kBeginning, kQuiescing, kFencing, kPromoting, kCompleting };
@@ -59,19 +60,19 @@
   [[nodiscard]] const protocol::Database* member(const core::DatabaseId& database) const;
 
   [[nodiscard]] std::size_t fences_needed() const;
-  [[nodiscard]] bool acknowledges_by_receipt() const { return group_.sync_replicas > 0; }
+  [[nodiscard]] bool is_semi_synchronous() const { return group_.sync_replicas > 0; }
   [[nodiscard]] core::Duration promote_timeout() const;
   [[nodiscard]] core::Duration planned_change_notice() const;
 
   [[nodiscard]] bool never_had_a_primary() const;
   void adopt_primary(core::Instant now);
-  [[nodiscard]] bool should_watch() const;
-  [[nodiscard]] bool change_is_due(core::Instant now, const HeardTable& heard) const;
+  [[nodiscard]] bool should_probe() const;
+  [[nodiscard]] bool change_is_due(core::Instant now, const LastHeartbeats& last_heartbeats) const;
   [[nodiscard]] bool leader_lost_primary(core::Instant now) const;
   [[nodiscard]] bool stall_confirmed(core::Instant now) const;
-  [[nodiscard]] bool receipts_missing(core::Instant now) const;
-  [[nodiscard]] bool planned_change_is_due(core::Instant now, const Tally& tally);
-  [[nodiscard]] bool primary_is_leaving(const Tally& tally) const;
+  [[nodiscard]] bool replica_acks_missing(core::Instant now) const;
+  [[nodiscard]] bool planned_change_is_due(core::Instant now, const SuspicionCounts& counts);
+  [[nodiscard]] bool primary_is_leaving(const SuspicionCounts& counts) const;
 
   void enter_steady();
   void begin(core::Instant now, bool planned);
@@ -81,50 +82,50 @@
   void start_fencing(core::Instant now);
   void send_fences(core::Instant now);
   void choose_when_fenced(core::Instant now);
-  [[nodiscard]] bool worth_waiting(core::Instant now) const;
+  [[nodiscard]] bool should_await_more_fences(core::Instant now) const;
   void promote(core::Instant now);
-  void give_up_candidate(core::Instant now);
+  void abandon_candidate(core::Instant now);
   void propose_complete(core::Instant now);
 
   std::vector<Effect>& effects_;
-  const RevisionFollowed& revision_followed_;
+  const RevisionAppliedCheck& revision_applied_;
   protocol::Group group_;
   std::vector<core::DaemonId> owners_;
-  MemberWatch watch_;
-  DepartureWatch departures_;
+  MemberProbes probes_;
+  DepartedDatabaseRemoval departed_removal_;
   SuspicionTally tally_;
 
   Phase phase_ = Phase::kSteady;
   bool planned_ = false;
   core::Instant phase_since_;
   core::Instant proposed_at_;
-  core::Instant planned_not_before_;
+  core::Instant earliest_planned_change_;
   std::optional<core::Instant> leaving_since_;  ///< When the primary was first seen to be leaving.
   protocol::Revision begin_revision_ = 0;       ///< Revision that committed the begin of the current change.
-  core::Term own_term_ = 0;                     ///< Last term that this leadership proposed; 0: none.
-  core::Term newest_seen_ = 0;                  ///< Highest term reported by a database.
-  core::DatabaseId replaced_;                   ///< Primary that the current change replaces.
+  core::Term proposed_term_ = 0;                ///< Last term that this leadership proposed; 0: none.
+  core::Term highest_seen_term_ = 0;            ///< Highest term reported by a database.
+  core::DatabaseId replaced_primary_;           ///< Primary that the current change replaces.
   std::map<core::DatabaseId, Fence> fences_;
-  std::optional<core::Instant> majority_since_;
-  std::set<core::DatabaseId> avoided_;  ///< Candidates whose promotion failed during this change.
+  std::optional<core::Instant> fence_quorum_since_;
+  std::set<core::DatabaseId> failed_candidates_;  ///< Candidates whose promotion failed during this change.
   core::DatabaseId candidate_;
   std::optional<core::Instant> promote_sent_;
   std::optional<core::Instant> promote_failed_;
   std::uint32_t promote_attempts_ = 0;
-  core::LogPosition start_;
+  core::LogPosition term_start_;
 };
 
 /// Once enough databases are fenced, the others get this long to answer before the new primary is chosen.
 /// More answers improve the choice but do not make it safer.
-inline constexpr core::Duration kFenceGrace = std::chrono::milliseconds(50);
+inline constexpr core::Duration kFenceGracePeriod = std::chrono::milliseconds(50);
 /// Delay before a failed fence or promote request is sent again.
 inline constexpr core::Duration kRetryDelay = std::chrono::milliseconds(100);
 /// Time without an answer after which a fence or promote request is sent again.
 inline constexpr core::Duration kAnswerTimeout = std::chrono::milliseconds(400);
 /// Answer timeout of a promotion in a semi-synchronous group, which an external service performs.
-inline constexpr core::Duration kOrderedPromotionTimeout = std::chrono::milliseconds(4000);
+inline constexpr core::Duration kExternalPromotionTimeout = std::chrono::milliseconds(4000);
 /// Delay before a proposal that has not appeared in the committed configuration is repeated.
-inline constexpr core::Duration kProposalRetry = std::chrono::milliseconds(400);
+inline constexpr core::Duration kProposalRetryInterval = std::chrono::milliseconds(400);
 /// Attempts to promote one candidate in a term before the next term is begun.
 inline constexpr std::uint32_t kPromoteAttempts = 3;
 /// Delay between learning that a primary is leaving and the planned change. Meanwhile daemons learn of it and
@@ -132,15 +133,15 @@
 inline constexpr core::Duration kPlannedChangeNotice = std::chrono::milliseconds(1500);
 /// Minimum time that a planned change leaves the old primary unfenced, so that daemons learn of the new term
 /// and stop sending writes.
-inline constexpr core::Duration kQuiesceMin = std::chrono::milliseconds(60);
+inline constexpr core::Duration kMinQuiesceTime = std::chrono::milliseconds(60);
 /// Maximum time that a planned change waits for the old primary to commit its log and become idle, so that
 /// writes in progress are answered.
-inline constexpr core::Duration kQuiesceMax = std::chrono::milliseconds(500);
+inline constexpr core::Duration kMaxQuiesceTime = std::chrono::milliseconds(500);
 /// Probe interval of the group's members during that wait.
 inline constexpr core::Duration kQuiesceProbeInterval = std::chrono::milliseconds(20);
 /// Minimum interval between planned changes in one group.
-inline constexpr core::Duration kPlannedChangeRest = std::chrono::seconds(5);
+inline constexpr core::Duration kPlannedChangeMinInterval = std::chrono::seconds(5);
 /// Log entries that a replica may lag behind the primary to be eligible in a planned change.
-inline constexpr std::uint64_t kPlannedChangeLag = 1000;
+inline constexpr std::uint64_t kPlannedChangeMaxLagEntries = 1000;
 
 }  // namespace pipitpond::failover
--- a/src/failover/member_watch.cpp
+++ b/src/failover/member_watch.cpp
@@ -6,7 +6,7 @@
 
 namespace pipitpond::failover {
 
-void MemberWatch::set_members(const protocol::Group& group) {
+void MemberProbes::set_members(const protocol::Group& group) {
   std::map<core::DatabaseId, Member> members;
   for (const protocol::Database& database : group.databases) {
     const auto known = members_.find(database.id);
@@ -19,7 +19,7 @@
   group_ = group.name;
 }
 
-void MemberWatch::reset() {
+void MemberProbes::reset() {
   for (auto& [id, member] : members_) {
     const core::Endpoint endpoint = member.endpoint;
     member = Member{};
@@ -28,76 +28,77 @@
   last_probe_call_.reset();
 }
 
-void MemberWatch::probe(core::Instant now, core::Duration interval, std::vector<Effect>& effects) {
-  const bool stood_still = last_probe_call_.has_value() && now - *last_probe_call_ > protocol::kProbeTimeout;
+void MemberProbes::probe(core::Instant now, core::Duration interval, std::vector<Effect>& effects) {
+  const bool process_stalled =
+      last_probe_call_.has_value() && now - *last_probe_call_ > protocol::kProbeTimeout;
   last_probe_call_ = now;
   for (auto& [id, member] : members_) {
-    if (member.sent.has_value() && stood_still) {
-      member.sent.reset();
+    if (member.in_flight_since.has_value() && process_stalled) {
+      member.in_flight_since.reset();
     }
-    if (member.sent.has_value() && now - *member.sent >= protocol::kProbeTimeout) {
-      member.sent.reset();
+    if (member.in_flight_since.has_value() && now - *member.in_flight_since >= protocol::kProbeTimeout) {
+      member.in_flight_since.reset();
       ++member.failures;
     }
     const bool due = !member.last_sent.has_value() || now - *member.last_sent >= interval;
-    if (!member.sent.has_value() && due) {
-      member.sent = now;
+    if (!member.in_flight_since.has_value() && due) {
+      member.in_flight_since = now;
       member.last_sent = now;
       effects.emplace_back(ProbeDatabase{id, member.endpoint, group_});
     }
   }
 }
 
-void MemberWatch::on_answer(core::Instant now, const database::StatusAnswer& status) {
+void MemberProbes::on_answer(core::Instant now, const database::StatusAnswer& status) {
   const auto found = members_.find(status.database);
   if (found == members_.end()) {
     return;
   }
   Member& member = found->second;
-  member.sent.reset();
+  member.in_flight_since.reset();
   member.failures = 0;
   if (!member.status.has_value()) {
     member.first_answered = now;
-    member.advanced = now;
+    member.last_advanced = now;
   } else if (status.received > member.status->received) {
-    member.advanced = now;
+    member.last_advanced = now;
   }
   member.status = status;
-  member.answered = now;
+  member.last_answered = now;
 }
 
-void MemberWatch::on_failure(core::Instant, const core::DatabaseId& database) {
+void MemberProbes::on_failure(core::Instant, const core::DatabaseId& database) {
   const auto found = members_.find(database);
-  if (found == members_.end() || !found->second.sent.has_value()) {
+  if (found == members_.end() || !found->second.in_flight_since.has_value()) {
     return;
   }
-  found->second.sent.reset();
+  found->second.in_flight_since.reset();
   ++found->second.failures;
 }
 
-bool MemberWatch::reachable(core::Instant now, const core::DatabaseId& database) const {
+bool MemberProbes::reachable(core::Instant now, const core::DatabaseId& database) const {
   const auto found = members_.find(database);
   return found != members_.end() && found->second.status.has_value() && found->second.failures == 0 &&
-         now - found->second.answered <= kFreshAnswer;
+         now - found->second.last_answered <= kProbeAnswerMaxAge;
 }
 
-std::size_t MemberWatch::count_reachable(core::Instant now, const core::DatabaseId& except) const {
+std::size_t MemberProbes::count_reachable(core::Instant now, const core::DatabaseId& excluded) const {
   return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [&](const auto& entry) {
-    return entry.first != except && reachable(now, entry.first);
+    return entry.first != excluded && reachable(now, entry.first);
   }));
 }
 
-bool MemberWatch::silent(const core::DatabaseId& database) const {
+bool MemberProbes::suspected_unreachable(const core::DatabaseId& database) const {
   const auto found = members_.find(database);
   return found != members_.end() && found->second.failures >= protocol::kProbeFailuresToSuspect;
 }
 
-bool MemberWatch::doubtful(const core::DatabaseId& database) const {
+bool MemberProbes::last_probe_failed(const core::DatabaseId& database) const {
   const auto found = members_.find(database);
   return found != members_.end() && found->second.failures > 0;
 }
 
-const database::StatusAnswer* MemberWatch::status(const core::DatabaseId& database) const {
+const database::StatusAnswer* MemberProbes::status(const core::DatabaseId& database) const {
   const auto found = members_.find(database);
   if (found == members_.end() || !found->second.status.has_value()) {
     return nullptr;
@@ -105,10 +106,10 @@
   return &*found->second.status;
 }
 
-bool MemberWatch::replicas_advance(core::Instant now, const core::DatabaseId& primary) const {
+bool MemberProbes::replicas_advancing(core::Instant now, const core::DatabaseId& primary) const {
   return std::any_of(members_.begin(), members_.end(), [&](const auto& entry) {
     return entry.first != primary && reachable(now, entry.first) &&
-           now - entry.second.advanced < kProgressWindow;
+           now - entry.second.last_advanced < kReplicationProgressWindow;
   });
 }
 
--- a/src/failover/member_watch.hpp
+++ b/src/failover/member_watch.hpp
@@ -16,7 +16,7 @@
 namespace pipitpond::failover {
 
 /// Probes the members of one group.
-class MemberWatch {
+class MemberProbes {
  public:
   /// Sets the databases to probe. Keeps the results of databases whose endpoint is unchanged.
   void set_members(const protocol::Group& group);
@@ -29,30 +29,30 @@
   void on_answer(core::Instant now, const database::StatusAnswer& status);
   void on_failure(core::Instant now, const core::DatabaseId& database);
 
-  /// The last probe did not fail, and an answer arrived within kFreshAnswer.
+  /// The last probe did not fail, and an answer arrived within kProbeAnswerMaxAge.
   [[nodiscard]] bool reachable(core::Instant now, const core::DatabaseId& database) const;
-  /// Number of reachable members other than `except`.
-  [[nodiscard]] std::size_t count_reachable(core::Instant now, const core::DatabaseId& except = {}) const;
+  /// Number of reachable members other than `excluded`.
+  [[nodiscard]] std::size_t count_reachable(core::Instant now, const core::DatabaseId& excluded = {}) const;
   /// At least kProbeFailuresToSuspect probes in a row failed.
-  [[nodiscard]] bool silent(const core::DatabaseId& database) const;
+  [[nodiscard]] bool suspected_unreachable(const core::DatabaseId& database) const;
   /// The last probe failed.
-  [[nodiscard]] bool doubtful(const core::DatabaseId& database) const;
+  [[nodiscard]] bool last_probe_failed(const core::DatabaseId& database) const;
   /// Last probe answer, or null.
   [[nodiscard]] const database::StatusAnswer* status(const core::DatabaseId& database) const;
-  /// True when a reachable member other than `primary` has received entries within kProgressWindow, which
-  /// means that replication is slow but not interrupted.
-  [[nodiscard]] bool replicas_advance(core::Instant now, const core::DatabaseId& primary) const;
+  /// True when a reachable member other than `primary` has received entries within
+  /// kReplicationProgressWindow, which means that replication is slow but not interrupted.
+  [[nodiscard]] bool replicas_advancing(core::Instant now, const core::DatabaseId& primary) const;
 
  private:
   struct Member {
     core::Endpoint endpoint;
-    std::optional<core::Instant> sent;  ///< Send time of the probe in flight.
+    std::optional<core::Instant> in_flight_since;  ///< Send time of the probe in flight.
     std::optional<core::Instant> last_sent;
     std::uint32_t failures = 0;
     std::optional<database::StatusAnswer> status;
-    core::Instant answered;
+    core::Instant last_answered;
     core::Instant first_answered;
-    core::Instant advanced;  ///< When `status->received` last advanced.
+    core::Instant last_advanced;  ///< When `status->received` last advanced.
   };
 
   core::GroupName group_;
@@ -61,9 +61,9 @@
 };
 
 /// Maximum age of a probe answer that counts a database as reachable.
-inline constexpr core::Duration kFreshAnswer = std::chrono::milliseconds(700);
+inline constexpr core::Duration kProbeAnswerMaxAge = std::chrono::milliseconds(700);
 /// A replica that has received nothing for this long while its primary waits for it is taken as disconnected
 /// from the primary.
-inline constexpr core::Duration kProgressWindow = std::chrono::milliseconds(400);
+inline constexpr core::Duration kReplicationProgressWindow = std::chrono::milliseconds(400);
 
 }  // namespace pipitpond::failover
--- a/src/failover/primary_choice.cpp
+++ b/src/failover/primary_choice.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 bool is_safe(const FencedMember& candidate, const std::vector<FencedMember>& fenced, std::size_t needed) {
-  const auto not_further = std::count_if(fenced.begin(), fenced.end(), [&](const FencedMember& other) {
+  const auto not_ahead = std::count_if(fenced.begin(), fenced.end(), [&](const FencedMember& other) {
     return other.received <= candidate.received;
   });
-  return static_cast<std::size_t>(not_further) >= needed;
+  return static_cast<std::size_t>(not_ahead) >= needed;
 }
 
 /// Sort key of a safe candidate: lower is preferred.
--- a/src/failover/suspicion_tally.cpp
+++ b/src/failover/suspicion_tally.cpp
@@ -17,40 +17,42 @@
   reports_.clear();
 }
 
-Tally SuspicionTally::count(core::Instant now, const std::vector<core::DaemonId>& owners,
-                            const HeardTable& heard, const core::DatabaseId& primary, core::Term term) const {
-  Tally tally;
-  tally.owners = owners.size();
+SuspicionCounts SuspicionTally::count(core::Instant now, const std::vector<core::DaemonId>& owners,
+                                      const LastHeartbeats& last_heartbeats, const core::DatabaseId& primary,
+                                      core::Term term) const {
+  SuspicionCounts counts;
+  counts.owners = owners.size();
   for (const core::DaemonId& owner : owners) {
-    const auto last = heard.find(owner);
-    if (last == heard.end() || now - last->second > kOwnerSilence) {
+    const auto last = last_heartbeats.find(owner);
+    if (last == last_heartbeats.end() || now - last->second > kOwnerHeartbeatTimeout) {
       continue;
     }
-    ++tally.heard;
+    ++counts.heard_owners;
     const auto found = reports_.find(owner);
     if (found == reports_.end()) {
       continue;
     }
-    const auto report = std::find_if(
-        found->second.begin(), found->second.end(),
-        [&](const protocol::SuspicionReport& one) { return one.database == primary && one.term == term; });
+    const auto report = std::find_if(found->second.begin(), found->second.end(),
+                                     [&](const protocol::SuspicionReport& candidate) {
+                                       return candidate.database == primary && candidate.term == term;
+                                     });
     if (report == found->second.end()) {
       continue;
     }
     switch (report->suspicion) {
       case protocol::Suspicion::kUnreachable:
       case protocol::Suspicion::kNotPrimary:
-        ++tally.unreachable;
+        ++counts.unreachable;
         break;
       case protocol::Suspicion::kReplicationStalled:
-        ++tally.stalled;
+        ++counts.stalled;
         break;
       case protocol::Suspicion::kLeaving:
-        tally.leaving = true;
+        counts.leaving = true;
         break;
     }
   }
-  return tally;
+  return counts;
 }
 
 }  // namespace pipitpond::failover
--- a/tests/failover/failover_fleet.cpp
+++ b/tests/failover/failover_fleet.cpp
@@ -87,12 +87,12 @@
                                  {"key", std::to_string(core::unix_millis_now()) + "-" + id},
                                  {"deadline_ms", 1000}};
     bool done = false;
-    bool never_runs = false;  // Final for this key: a retry would need a new key.
-    while (!done && !never_runs && !stopping_) {
+    bool not_run = false;  // Final for this key: a retry would need a new key.
+    while (!done && !not_run && !stopping_) {
       const auto reply = call(proxies_[proxy % proxies_.size()], "POST", "/v1/statements", body);
       const std::string outcome = reply && reply->body.is_object() ? reply->body.value("outcome", "") : "";
       done = outcome == "done";
-      never_runs = outcome == "not_run";
+      not_run = outcome == "not_run";
       if (!done) {
         ++proxy;
         std::this_thread::sleep_for(kRetryPause);
@@ -181,14 +181,14 @@
   const auto reply = call(fleet_->endpoint(primary()), "GET", "/v1/log?from=1");
   ASSERT_TRUE(reply && reply->accepted());
   const auto log = reply->body.get<database::LogAnswer>();
-  std::map<std::string, int> times;
+  std::map<std::string, int> occurrences;
   for (const database::LogEntry& entry : log.entries) {
     for (const nlohmann::json& statement : entry.statements) {
-      ++times[statement.value("id", "")];
+      ++occurrences[statement.value("id", "")];
     }
   }
   for (const std::string& id : acknowledged) {
-    EXPECT_EQ(times[id], 1) << "log entries of acknowledged write " << id;
+    EXPECT_EQ(occurrences[id], 1) << "log entries of acknowledged write " << id;
   }
 }
 
--- a/tests/failover/failover_test.cpp
+++ b/tests/failover/failover_test.cpp
@@ -39,7 +39,7 @@
   fleet.expect_in_log(writers.stop());
 }
 
-TEST(Failover, APrimaryThatWasFrozenAcknowledgesNothingAfterItsReplacement) {
+TEST(Failover, FrozenPrimaryAcknowledgesNothingAfterItsReplacement) {
   FailoverFleet fleet;
   Writers writers(fleet.proxies(), kWriters);
   ASSERT_TRUE(writers.wait_for_more(kSomeWrites));
@@ -50,11 +50,11 @@
   ASSERT_TRUE(writers.wait_for_more(kSomeWrites));
 
   // The write waits in the frozen process's socket buffer, so that it is read first after the thaw.
-  auto waiting =
+  auto pending_reply =
       std::async(std::launch::async, [&] { return fleet.write_directly(frozen, term, "waiting"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   must(fleet.fleet().thaw(frozen));
-  expect_refused(waiting.get());
+  expect_refused(pending_reply.get());
   EXPECT_TRUE(wait_for([&] { return has_stepped_down(fleet, frozen, term); }));
   const auto later = fleet.write_directly(frozen, term, "later");
   ASSERT_TRUE(later);
@@ -63,47 +63,47 @@
   fleet.expect_in_log(writers.stop());
 }
 
-TEST(Failover, APrimaryThatOnlyCallersReachAcknowledgesNothingAfterItsReplacement) {
+TEST(Failover, PrimaryReachableOnlyByCallersAcknowledgesNothingAfterItsReplacement) {
   FailoverFleet fleet;
-  const std::string cut = fleet.primary();
+  const std::string partitioned = fleet.primary();
   const core::Term term = fleet.term();
-  ASSERT_TRUE(fleet.write_directly(cut, term, "before")->accepted());
-  must(fleet.fleet().set_link(cut + ".proxies", fleet::LinkMode::kCut));
+  ASSERT_TRUE(fleet.write_directly(partitioned, term, "before")->accepted());
+  must(fleet.fleet().set_link(partitioned + ".proxies", fleet::LinkMode::kCut));
 
   std::atomic<bool> replaced = false;
   auto caller = std::async(std::launch::async, [&] {
     std::vector<std::string> acknowledged = {"before"};
     for (int write = 0; !replaced; ++write) {
       const std::string id = "direct-" + std::to_string(write);
-      const auto reply = fleet.write_directly(cut, term, id);
+      const auto reply = fleet.write_directly(partitioned, term, id);
       if (reply && reply->accepted()) {
         acknowledged.push_back(id);
       }
     }
     return acknowledged;
   });
-  fleet.next_primary(cut);
-  expect_refused(fleet.write_directly(cut, term, "after"));
+  fleet.next_primary(partitioned);
+  expect_refused(fleet.write_directly(partitioned, term, "after"));
   replaced = true;
   const auto acknowledged = caller.get();
   EXPECT_GT(acknowledged.size(), 1U) << "the old primary acknowledged no write before it was replaced";
   fleet.expect_in_log(acknowledged);
 }
 
-TEST(Failover, APrimaryThatIsCutFromItsReplicasIsReplaced) {
+TEST(Failover, PrimaryPartitionedFromItsReplicasIsReplaced) {
   FailoverFleet fleet;
   Writers writers(fleet.proxies(), kWriters);
   ASSERT_TRUE(writers.wait_for_more(kSomeWrites));
-  const std::string cut = fleet.primary();
+  const std::string partitioned = fleet.primary();
   const core::Term term = fleet.term();
-  for (const std::string& replica : fleet.replicas_of(cut)) {
+  for (const std::string& replica : fleet.replicas_of(partitioned)) {
     must(fleet.fleet().set_link(replica + ".peers", fleet::LinkMode::kCut));
   }
-  fleet.next_primary(cut);
-  for (const std::string& replica : fleet.replicas_of(cut)) {
+  fleet.next_primary(partitioned);
+  for (const std::string& replica : fleet.replicas_of(partitioned)) {
     must(fleet.fleet().set_link(replica + ".peers", fleet::LinkMode::kPass));
   }
-  EXPECT_TRUE(wait_for([&] { return has_stepped_down(fleet, cut, term); }));
+  EXPECT_TRUE(wait_for([&] { return has_stepped_down(fleet, partitioned, term); }));
   ASSERT_TRUE(writers.wait_for_more(kSomeWrites));
   fleet.expect_in_log(writers.stop());
 }
@@ -130,7 +130,7 @@
   fleet.expect_in_log(writers.stop());
 }
 
-TEST(Failover, AStaleReplicaThatIsBackIsNotChosen) {
+TEST(Failover, RestartedStaleReplicaIsNotChosen) {
   FailoverFleet fleet;
   const std::string first = fleet.primary();
   const auto replicas = fleet.replicas_of(first);
--- a/tests/failover/no_failover_test.cpp
+++ b/tests/failover/no_failover_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kWriters = 4;
 
-TEST(Failover, LagASlowPrimaryAndOneLossyLinkAreNoReasonForAFailover) {
+TEST(Failover, LagASlowPrimaryAndOneLossyLinkTriggerNoFailover) {
   FailoverFleet fleet;
   const std::string primary = fleet.primary();
   const core::Term before = fleet.term();
--- a/tests/failover_logic/coordinator_test.cpp
+++ b/tests/failover_logic/coordinator_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(group_.primary(), "a");
 }
 
-TEST_F(CoordinatorTest, DeadPrimaryIsReplacedByTheFurthestReplica) {
+TEST_F(CoordinatorTest, DeadPrimaryIsReplacedByTheMostUpToDateReplica) {
   group_.database("a").received = {1, 100};
   group_.database("b").received = {1, 80};
   group_.database("c").received = {1, 95};
@@ -52,7 +52,7 @@
   EXPECT_EQ(group_.group().terms.back().start, (core::LogPosition{1, 95}));
 }
 
-TEST_F(CoordinatorTest, TwoFailoversInARowNeedNoPause) {
+TEST_F(CoordinatorTest, SecondFailoverRightAfterTheFirstSucceeds) {
   kill(group_.database("a"));
   ASSERT_TRUE(group_.run_until_primary_differs("a"));
   const std::string second = group_.primary();
@@ -62,45 +62,45 @@
   ASSERT_TRUE(group_.run_until_primary_differs(second));
 }
 
-TEST_F(CoordinatorTest, OneLossyLinkChangesNothing) {
+TEST_F(CoordinatorTest, ReportOfOneOwnerDoesNotTriggerAFailover) {
   group_.force_reports(1, {ExampleGroup::report("a", Suspicion::kUnreachable, group_.term())});
   expect_no_change_within(seconds(20));
 }
 
-TEST_F(CoordinatorTest, HalfOfTheOwnersIsNoMajority) {
+TEST_F(CoordinatorTest, ReportsOfHalfTheOwnersDoNotTriggerAFailover) {
   for (const int owner : {1, 2}) {
     group_.force_reports(owner, {ExampleGroup::report("a", Suspicion::kUnreachable, group_.term())});
   }
   expect_no_change_within(seconds(20));
 }
 
-TEST_F(CoordinatorTest, ReportsOfAnEarlierTermCountForNothing) {
+TEST_F(CoordinatorTest, ReportsOfAnEarlierTermAreIgnored) {
   for (const int owner : {1, 2, 3, 4}) {
     group_.force_reports(owner, {ExampleGroup::report("a", Suspicion::kUnreachable, group_.term() - 1)});
   }
   expect_no_change_within(seconds(5));
 }
 
-TEST_F(CoordinatorTest, RemainingOwnersDecideWithTheLeaderWhenOthersDiedWithThePrimary) {
+TEST_F(CoordinatorTest, HeardOwnersAndTheLeaderReplaceThePrimaryWhenOtherOwnersDied) {
   kill(group_.database("a"));
-  group_.silence_owner(1);
-  group_.silence_owner(2);
+  group_.stop_heartbeats(1);
+  group_.stop_heartbeats(2);
   EXPECT_TRUE(group_.run_until_primary_differs("a"));
 }
 
-TEST_F(CoordinatorTest, RemainingOwnersAloneDoNotOverruleTheLeadersProbe) {
+TEST_F(CoordinatorTest, HeardOwnersAloneDoNotOverrideTheLeadersProbe) {
   group_.database("a").reachable_by_owners = false;
-  group_.silence_owner(1);
-  group_.silence_owner(2);
+  group_.stop_heartbeats(1);
+  group_.stop_heartbeats(2);
   expect_no_change_within(seconds(10));
 }
 
-TEST_F(CoordinatorTest, StalledPrimaryCutFromItsReplicasIsReplaced) {
+TEST_F(CoordinatorTest, StalledPrimaryPartitionedFromItsReplicasIsReplaced) {
   group_.database("a").stalled_ms = 900;
   EXPECT_TRUE(group_.run_until_primary_differs("a"));
 }
 
-TEST_F(CoordinatorTest, StallIsNoReasonWhileReplicasAdvance) {
+TEST_F(CoordinatorTest, StallDoesNotTriggerAFailoverWhileReplicasAdvance) {
   group_.database("a").stalled_ms = 900;
   const core::Term before = group_.term();
   for (std::uint64_t index = 1; index <= 50; ++index) {
@@ -110,7 +110,7 @@
   EXPECT_EQ(group_.term(), before);
 }
 
-TEST_F(CoordinatorTest, StallIsNoReasonWithoutAMajorityOfOthers) {
+TEST_F(CoordinatorTest, StallDoesNotTriggerAFailoverWithoutAMajorityOfOthers) {
   group_.database("a").stalled_ms = 900;
   kill(group_.database("b"));
   expect_no_change_within(seconds(10));
@@ -124,7 +124,7 @@
   EXPECT_TRUE(group_.run_until_primary_differs("a"));
 }
 
-TEST_F(CoordinatorTest, LostPromotionAnswerLeadsToANewTermNeverToASecondPrimaryOfOne) {
+TEST_F(CoordinatorTest, LostPromotionAnswerLeadsToANewTermNotToASecondPrimaryInTheSameTerm) {
   group_.database("b").received = {1, 10};
   group_.database("c").received = {1, 10};
   group_.database("b").promote_answers_lost = true;
@@ -134,7 +134,7 @@
   EXPECT_GE(group_.term(), 3U);
 }
 
-TEST_F(CoordinatorTest, NewLeaderBeginsATermOfItsOwn) {
+TEST_F(CoordinatorTest, NewLeaderDoesNotPromoteInATermOfAnEarlierLeader) {
   group_.database("b").promote_answers_lost = true;
   group_.database("c").promote_answers_lost = true;
   kill(group_.database("a"));
@@ -148,7 +148,7 @@
   EXPECT_GT(group_.term(), begun);
 }
 
-TEST_F(CoordinatorTest, LostProposalsAreMadeAgain) {
+TEST_F(CoordinatorTest, LostProposalsAreRetried) {
   group_.drop_proposals(true);
   kill(group_.database("a"));
   group_.run(seconds(2));
@@ -156,34 +156,34 @@
   EXPECT_TRUE(group_.run_until_primary_differs("a"));
 }
 
-TEST_F(CoordinatorTest, DatabaseThatPromisedALaterTermIsOvertaken) {
+TEST_F(CoordinatorTest, DatabaseFencedAtALaterTermDoesNotBlockAFailover) {
   group_.database("b").term = 9;
   kill(group_.database("a"));
   ASSERT_TRUE(group_.run_until_primary_differs("a"));
   EXPECT_GE(group_.term(), 9U);
 }
 
-TEST_F(CoordinatorTest, DrainingPrimaryHandsOverOnce) {
+TEST_F(CoordinatorTest, DrainingPrimaryIsReplacedExactlyOnce) {
   group_.set_draining("a", true);
   ASSERT_TRUE(group_.run_until_primary_differs("a"));
-  EXPECT_EQ(group_.begins(), 2U);
+  EXPECT_EQ(group_.begun_terms(), 2U);
   expect_no_change_within(seconds(20));
 }
 
-TEST_F(CoordinatorTest, DrainingPrimaryKeepsItsTermUntilTransactionsHadTimeToEnd) {
+TEST_F(CoordinatorTest, DrainingPrimaryIsNotReplacedBeforeTheNoticePeriodEnds) {
   group_.set_draining("a", true);
   expect_no_change_within(kPlannedChangeNotice - milliseconds(100));
   EXPECT_TRUE(group_.run_until_primary_differs("a"));
 }
 
-TEST_F(CoordinatorTest, LeavingPrimaryStaysWhenNobodyHealthyCanTakeOver) {
+TEST_F(CoordinatorTest, LeavingPrimaryIsNotReplacedWithoutAHealthyCandidate) {
   group_.database("a").leaving = true;
   kill(group_.database("b"));
   group_.database("c").leaving = true;
   expect_no_change_within(seconds(20));
 }
 
-TEST(CoordinatorWithOneOwner, NeedsTheLeadersProbe) {
+TEST(CoordinatorWithOneOwner, DoesNotReplaceThePrimaryWithoutTheLeadersProbe) {
   ExampleGroup group(1);
   ASSERT_TRUE(group.run_until_primary_differs(""));
   group.database("a").reachable_by_owners = false;
@@ -194,7 +194,7 @@
 }
 
 /// A coordinator with one group that has no primary, so that each tick of the group produces effects.
-class WatchingCoordinatorTest : public testing::Test {
+class CoordinatorHeartbeatTest : public testing::Test {
  protected:
   void SetUp() override {
     protocol::Group group;
@@ -212,22 +212,22 @@
   Coordinator coordinator_;
 };
 
-TEST_F(WatchingCoordinatorTest, HeartbeatThatNamesNoGroupCostsNoGroupAnything) {
+TEST_F(CoordinatorHeartbeatTest, HeartbeatWithoutSuspicionsTicksNoGroup) {
   coordinator_.on_suspicions(now_, core::DaemonId("o1"), {});
   EXPECT_TRUE(coordinator_.take_effects().empty());
 }
 
-TEST_F(WatchingCoordinatorTest, HeartbeatThatNamesAGroupHasItJudgedAtOnce) {
+TEST_F(CoordinatorHeartbeatTest, HeartbeatWithASuspicionTicksItsGroupAtOnce) {
   coordinator_.on_suspicions(now_, core::DaemonId("o1"),
                              {ExampleGroup::report("a", Suspicion::kUnreachable, 0)});
   EXPECT_FALSE(coordinator_.take_effects().empty());
 }
 
-TEST(CoordinatorWithoutOwners, DecidesByItsOwnProbes) {
+TEST(CoordinatorWithoutOwners, ReplacesThePrimaryByTheLeadersProbesAlone) {
   ExampleGroup group(0);
   ASSERT_TRUE(group.run_until_primary_differs(""));
   group.run(seconds(10));
-  EXPECT_EQ(group.begins(), 1U);
+  EXPECT_EQ(group.begun_terms(), 1U);
   kill(group.database("a"));
   EXPECT_TRUE(group.run_until_primary_differs("a"));
 }
@@ -236,15 +236,15 @@
   return FencedMember{core::DatabaseId(name), received, false, false};
 }
 
-TEST(PrimaryChoice, NeedsAMajority) {
+TEST(PrimaryChoice, ChoosesNoDatabaseWithoutAMajority) {
   EXPECT_FALSE(choose_primary({fenced("a", {1, 5})}, 3).has_value());
 }
 
-TEST(PrimaryChoice, LaterTermBeatsLongerLog) {
+TEST(PrimaryChoice, PrefersALaterTermToALongerLog) {
   EXPECT_EQ(choose_primary({fenced("a", {1, 50}), fenced("b", {2, 5})}, 3)->value(), "b");
 }
 
-TEST(PrimaryChoice, AvoidsADatabaseOnlyWhereAnotherHoldsAllThatAMajorityHolds) {
+TEST(PrimaryChoice, AvoidsADatabaseOnlyIfAnotherIsSafe) {
   FencedMember first = fenced("a", {1, 50});
   first.avoided = true;
   EXPECT_EQ(choose_primary({first, fenced("b", {1, 40}), fenced("c", {1, 30})}, 3)->value(), "b");
--- a/tests/failover_logic/daemon_leases_test.cpp
+++ b/tests/failover_logic/daemon_leases_test.cpp
@@ -46,14 +46,14 @@
   DaemonLeases leases_;
 };
 
-TEST_F(DaemonLeasesTest, NothingIsGrantedWithoutQuorumOrAdmission) {
+TEST_F(DaemonLeasesTest, NoLeaseIsGrantedWithoutQuorumOrAdmission) {
   EXPECT_EQ(heartbeat("x", 10, false).lease_ms, 0U);
   EXPECT_EQ(heartbeat("unknown", 10).lease_ms, 0U);
   EXPECT_EQ(heartbeat("x", 10, true, 2).lease_ms, 0U);
   EXPECT_GT(heartbeat("x", 10).lease_ms, 0U);
 }
 
-TEST_F(DaemonLeasesTest, AReturnedDaemonGetsNoLeaseBeforeItHasAppliedItsAdmission) {
+TEST_F(DaemonLeasesTest, ReturnedDaemonGetsNoLeaseBeforeItHasAppliedItsAdmission) {
   // Removed and admitted again in the same incarnation, as after a long freeze. In the configuration that the
   // daemon still uses, it has connection budgets that other daemons have taken over.
   configuration_.revision = 12;
@@ -71,13 +71,13 @@
 // Guards against exceeded connection limits: the daemon returned after its removal was proposed but before
 // the removal was committed, and opened connections after other daemons had taken over its budgets. Found by
 // the group simulation with seed 1758.
-TEST_F(DaemonLeasesTest, ADaemonThatMayBeRemovedGetsNoLeaseBeforeItIsAdmittedAnew) {
+TEST_F(DaemonLeasesTest, RemovableDaemonGetsNoLeaseUntilAdmittedAgain) {
   now_ += kUntilRemoval;
   EXPECT_EQ(heartbeat("x", 10).lease_ms, 0U);
   EXPECT_EQ(leases_.removable(now_).size(), 2U);
 }
 
-TEST_F(DaemonLeasesTest, NewLeaderRemovesNobodyBeforeAnEarlierLeadersLeasesHaveEnded) {
+TEST_F(DaemonLeasesTest, NewLeaderRemovesNoDaemonBeforeEarlierLeasesHaveExpired) {
   now_ += kUntilRemoval - milliseconds(1);
   heartbeat("x", 10);
   EXPECT_TRUE(leases_.removable(now_).empty());
@@ -87,7 +87,7 @@
   EXPECT_EQ(removable.front().daemon.value(), "y");
 }
 
-TEST_F(DaemonLeasesTest, SettledEverywhereWaitsForTheSlowestAndTheUnheard) {
+TEST_F(DaemonLeasesTest, SettledEverywhereWaitsForTheSlowestAndUnheardDaemons) {
   EXPECT_EQ(heartbeat("x", 10).settled_everywhere, 0U);
   EXPECT_EQ(heartbeat("y", 7).settled_everywhere, 7U);
   EXPECT_EQ(heartbeat("y", 10).settled_everywhere, 10U);
@@ -96,7 +96,7 @@
   EXPECT_EQ(heartbeat("x", 10).settled_everywhere, 0U);
 }
 
-TEST_F(DaemonLeasesTest, RemovedDaemonHoldsNobodyBackAndMustBeAdmittedAgain) {
+TEST_F(DaemonLeasesTest, RemovedDaemonDoesNotDelaySettlingAndMustBeAdmittedAgain) {
   heartbeat("x", 10);
   configuration_.daemons.erase(core::DaemonId("y"));
   configuration_.revision = 11;
@@ -115,7 +115,7 @@
   EXPECT_EQ(heartbeat("x", 10).lease_ms, 0U);
 }
 
-TEST_F(DaemonLeasesTest, LateMessageOfAnEarlierLifeChangesNothing) {
+TEST_F(DaemonLeasesTest, LateMessageOfAnEarlierIncarnationIsIgnored) {
   configuration_.daemons[core::DaemonId("x")].incarnation = 2;
   leases_.on_configuration(now_, configuration_);
   protocol::Heartbeat late;
@@ -128,7 +128,7 @@
 
 /// Daemons join, leave, restart and settle at random: the lowest settled revision must always equal the
 /// minimum over all daemons.
-TEST(DaemonLeases, SettledEverywhereAgreesWithALookAtAllDaemons) {
+TEST(DaemonLeases, SettledEverywhereEqualsTheMinimumOverAllDaemons) {
   constexpr int kSteps = 2000;
   constexpr int kDaemons = 8;
   std::mt19937_64 random(20261202);
@@ -188,7 +188,7 @@
   }
 };
 
-TEST_F(LeasesAndPrimariesTest, ADaemonThatDoesNotKnowTheNewestPrimaryGetsNoLease) {
+TEST_F(LeasesAndPrimariesTest, DaemonWithoutTheLatestPrimaryGetsNoLease) {
   // Guards against stale reads: a proxy that was partitioned during the change of primary got a lease before
   // it had fetched the change, and read from the replaced primary.
   set_primary(11, 2, "");
@@ -199,14 +199,14 @@
   EXPECT_GT(heartbeat_of("x", 12).lease_ms, 0U);
 }
 
-TEST_F(LeasesAndPrimariesTest, OtherChangesAskForNothing) {
+TEST_F(LeasesAndPrimariesTest, UnrelatedConfigurationChangesDoNotWithholdLeases) {
   set_primary(11, 2, "a");
   configuration_.revision = 15;
   leases_.on_configuration(now_, configuration_);
   EXPECT_GT(heartbeat_of("x", 11).lease_ms, 0U);
 }
 
-TEST_F(LeasesAndPrimariesTest, ARevisionIsFollowedOnceAllHaveAppliedItOrLostTheirLeases) {
+TEST_F(LeasesAndPrimariesTest, RevisionCountsAsAppliedOnceAllDaemonsAppliedItOrLostTheirLeases) {
   heartbeat_of("x", 10);
   heartbeat_of("y", 10);
   set_primary(11, 2, "");
@@ -221,7 +221,7 @@
   EXPECT_TRUE(leases_.followed_or_expired(now_, 11));
 }
 
-TEST_F(LeasesAndPrimariesTest, ANewLeaderDoesNotKnowWhichLeasesRun) {
+TEST_F(LeasesAndPrimariesTest, NewLeaderAssumesThatAllLeasesAreValid) {
   set_primary(11, 2, "");
   leases_.on_leadership(now_, false);
   leases_.on_leadership(now_, true);
--- a/tests/failover_logic/database_monitor_test.cpp
+++ b/tests/failover_logic/database_monitor_test.cpp
@@ -48,7 +48,7 @@
   DatabaseMonitor monitor_;
 };
 
-TEST_F(DatabaseMonitorTest, SilentDatabaseIsSuspectedAfterTwoProbes) {
+TEST_F(DatabaseMonitorTest, DatabaseIsSuspectedAfterTwoUnansweredProbes) {
   run(seconds(1), healthy());
   run(protocol::kProbeTimeout, std::nullopt);
   EXPECT_EQ(suspicion(), std::nullopt);
@@ -58,7 +58,7 @@
   EXPECT_EQ(suspicion(), std::nullopt);
 }
 
-TEST_F(DatabaseMonitorTest, OneLostProbeIsNoSuspicion) {
+TEST_F(DatabaseMonitorTest, OneLostProbeDoesNotRaiseASuspicion) {
   for (int round = 0; round < 20; ++round) {
     run(seconds(1), healthy());
     while (!monitor_.tick(now_)) {
@@ -71,13 +71,13 @@
   }
 }
 
-TEST_F(DatabaseMonitorTest, RefusedConnectionIsEnough) {
+TEST_F(DatabaseMonitorTest, OneRefusedConnectionRaisesASuspicion) {
   ASSERT_TRUE(monitor_.tick(now_));
   monitor_.on_probe_failed(now_, true);
   EXPECT_EQ(suspicion(), Suspicion::kUnreachable);
 }
 
-TEST_F(DatabaseMonitorTest, OwnFreezeAccusesNobody) {
+TEST_F(DatabaseMonitorTest, OwnStallDoesNotRaiseASuspicion) {
   run(seconds(1), healthy());
   while (!monitor_.tick(now_)) {
     now_ += kMonitorInterval;
@@ -100,7 +100,7 @@
   EXPECT_GT(busy_probes, 0);
 }
 
-TEST_F(DatabaseMonitorTest, StalledPrimaryIsSuspectedButNoStalledReplica) {
+TEST_F(DatabaseMonitorTest, StalledPrimaryIsSuspectedButAStalledReplicaIsNot) {
   database::StatusAnswer stalled = healthy();
   stalled.replication_stalled_ms = 900;
   run(seconds(1), stalled);
@@ -111,7 +111,7 @@
   EXPECT_EQ(suspicion(), std::nullopt);
 }
 
-TEST_F(DatabaseMonitorTest, FencedPrimaryOfALaterTermIsNoSurprise) {
+TEST_F(DatabaseMonitorTest, PrimaryFencedAtALaterTermIsNotSuspected) {
   database::StatusAnswer fenced = healthy();
   fenced.role = database::Role::kFenced;
   fenced.term = 4;
--- a/tests/failover_logic/example_group.cpp
+++ b/tests/failover_logic/example_group.cpp
@@ -96,44 +96,45 @@
 }
 
 void ExampleGroup::send_heartbeats() {
-  const auto seen = seen_by_owners();
+  const auto observations = owner_observations();
   for (int number = 1; number <= owners_; ++number) {
-    if (silent_owners_.contains(number)) {
+    if (owners_without_heartbeat_.contains(number)) {
       continue;
     }
-    const auto forced = forced_.find(number);
-    coordinator_->on_suspicions(now_, owner_id(number), forced == forced_.end() ? seen : forced->second);
+    const auto forced = forced_reports_.find(number);
+    coordinator_->on_suspicions(now_, owner_id(number),
+                                forced == forced_reports_.end() ? observations : forced->second);
   }
 }
 
-std::vector<protocol::SuspicionReport> ExampleGroup::seen_by_owners() const {
-  std::vector<protocol::SuspicionReport> seen;
+std::vector<protocol::SuspicionReport> ExampleGroup::owner_observations() const {
+  std::vector<protocol::SuspicionReport> observations;
   for (const auto& [id, one] : databases_) {
     if (!one.reachable_by_owners) {
-      seen.push_back(report(id.value(), protocol::Suspicion::kUnreachable, term()));
+      observations.push_back(report(id.value(), protocol::Suspicion::kUnreachable, term()));
     } else if (one.leaving) {
-      seen.push_back(report(id.value(), protocol::Suspicion::kLeaving, term()));
+      observations.push_back(report(id.value(), protocol::Suspicion::kLeaving, term()));
     } else if (id.value() == primary() &&
                one.stalled_ms >= core::to_millis(protocol::kReplicationStallLimit)) {
-      seen.push_back(report(id.value(), protocol::Suspicion::kReplicationStalled, term()));
+      observations.push_back(report(id.value(), protocol::Suspicion::kReplicationStalled, term()));
     }
   }
-  return seen;
+  return observations;
 }
 
 void ExampleGroup::carry_out(const Effect& effect) {
   std::visit(
       [this](const auto& one) {
-        using Kind = std::decay_t<decltype(one)>;
-        if constexpr (std::is_same_v<Kind, ProbeDatabase>) {
+        using EffectType = std::decay_t<decltype(one)>;
+        if constexpr (std::is_same_v<EffectType, ProbeDatabase>) {
           probe(one);
-        } else if constexpr (std::is_same_v<Kind, FenceDatabase>) {
+        } else if constexpr (std::is_same_v<EffectType, FenceDatabase>) {
           fence(one);
-        } else if constexpr (std::is_same_v<Kind, PromoteDatabase>) {
+        } else if constexpr (std::is_same_v<EffectType, PromoteDatabase>) {
           promote(one);
-        } else if constexpr (std::is_same_v<Kind, ProposeBegin>) {
+        } else if constexpr (std::is_same_v<EffectType, ProposeBegin>) {
           begin(one);
-        } else if constexpr (std::is_same_v<Kind, ProposeComplete>) {
+        } else if constexpr (std::is_same_v<EffectType, ProposeComplete>) {
           complete(one);
         }
       },
@@ -178,8 +179,8 @@
 
 void ExampleGroup::promote(const PromoteDatabase& effect) {
   ExampleDatabase& one = databases_.at(effect.database);
-  promoted_[effect.term].insert(effect.database);
-  EXPECT_EQ(promoted_[effect.term].size(), 1U)
+  promoted_by_term_[effect.term].insert(effect.database);
+  EXPECT_EQ(promoted_by_term_[effect.term].size(), 1U)
       << "more than one database was asked to become primary of term " << effect.term;
   EXPECT_EQ(effect.members.size(), 3U);
   if (!one.reachable) {
@@ -202,7 +203,7 @@
   if (drop_proposals_ || term() != effect.expected_term) {
     return;
   }
-  ++begins_;
+  ++begun_terms_;
   configuration_.groups[kGroup].terms.push_back(protocol::TermStart{effect.new_term, {}, {}});
   commit();
 }
--- a/tests/failover_logic/example_group.hpp
+++ b/tests/failover_logic/example_group.hpp
@@ -37,7 +37,7 @@
   /// Name of the committed primary; empty without one.
   [[nodiscard]] std::string primary() const;
   [[nodiscard]] core::Term term() const;
-  [[nodiscard]] std::size_t begins() const { return begins_; }
+  [[nodiscard]] std::size_t begun_terms() const { return begun_terms_; }
 
   /// Advances time by `duration`. Owners report their observations with each heartbeat; effects are executed.
   void run(core::Duration duration);
@@ -46,8 +46,10 @@
   bool run_until_primary_differs(const std::string& name);
 
   /// Makes the owner send exactly these reports from now on, instead of its observations.
-  void force_reports(int owner, std::vector<protocol::SuspicionReport> reports) { forced_[owner] = reports; }
-  void silence_owner(int owner) { silent_owners_.insert(owner); }
+  void force_reports(int owner, std::vector<protocol::SuspicionReport> reports) {
+    forced_reports_[owner] = reports;
+  }
+  void stop_heartbeats(int owner) { owners_without_heartbeat_.insert(owner); }
   void set_draining(const std::string& name, bool draining);
   void drop_proposals(bool drop) { drop_proposals_ = drop; }
   /// Replaces the leader by a new one with the same committed configuration.
@@ -61,7 +63,7 @@
  private:
   void step();
   void send_heartbeats();
-  std::vector<protocol::SuspicionReport> seen_by_owners() const;
+  std::vector<protocol::SuspicionReport> owner_observations() const;
   void carry_out(const Effect& effect);
   void probe(const ProbeDatabase& effect);
   void fence(const FenceDatabase& effect);
@@ -75,11 +77,11 @@
   std::unique_ptr<Coordinator> coordinator_;
   protocol::Configuration configuration_;
   std::map<core::DatabaseId, ExampleDatabase> databases_;
-  std::map<core::Term, std::set<core::DatabaseId>> promoted_;
-  std::map<int, std::vector<protocol::SuspicionReport>> forced_;
-  std::set<int> silent_owners_;
+  std::map<core::Term, std::set<core::DatabaseId>> promoted_by_term_;
+  std::map<int, std::vector<protocol::SuspicionReport>> forced_reports_;
+  std::set<int> owners_without_heartbeat_;
   int owners_;
-  std::size_t begins_ = 0;
+  std::size_t begun_terms_ = 0;
   bool drop_proposals_ = false;
 };
 
--- a/tests/failover_logic/receipts_test.cpp
+++ b/tests/failover_logic/receipts_test.cpp
@@ -26,7 +26,7 @@
   return member;
 }
 
-TEST(ChooseWithReceiptsTest, AllButOneMustBeFenced) {
+TEST(SemiSynchronousChoiceTest, AllButOneMustBeFenced) {
   EXPECT_EQ(fences_needed(3, 1), 2U);
   EXPECT_EQ(fences_needed(4, 1), 3U);
   EXPECT_EQ(fences_needed(5, 1), 4U) << "a majority of 3 may not include the only replica that has a write";
@@ -34,18 +34,18 @@
   EXPECT_FALSE(choose_primary({fenced("b", 9), fenced("c", 9)}, 4, 1));
 }
 
-TEST(ChooseWithReceiptsTest, TheFurthestOfTheFencedLeads) {
+TEST(SemiSynchronousChoiceTest, ChoosesTheMostUpToDateFencedDatabase) {
   EXPECT_EQ(choose_primary({fenced("b", 8), fenced("c", 9)}, 3, 1), core::DatabaseId("c"));
 }
 
-TEST(ChooseWithReceiptsTest, ALeavingReplicaLeadsOnlyWhenItAloneIsSafe) {
+TEST(SemiSynchronousChoiceTest, ChoosesALeavingReplicaOnlyWhenNoOtherIsSafe) {
   EXPECT_EQ(choose_primary({fenced("b", 8), fenced("c", 9, true)}, 3, 1), core::DatabaseId("c"));
   EXPECT_EQ(choose_primary({fenced("b", 9), fenced("c", 9, true)}, 3, 1), core::DatabaseId("b"));
 }
 
 // Property: an acknowledged commit is on the primary and at least one replica. Whichever subset of the
 // databases is fenced, the one chosen from it has every acknowledged commit.
-RC_GTEST_PROP(ChooseWithReceiptsProperty, TheChosenOneHasEveryAcknowledgedWrite, ()) {
+RC_GTEST_PROP(SemiSynchronousChoiceProperty, ChosenPrimaryHasEveryAcknowledgedWrite, ()) {
   const auto size = static_cast<std::size_t>(*rc::gen::inRange(2, 6));
   const auto lengths =
       *rc::gen::container<std::vector<std::uint64_t>>(size, rc::gen::inRange<std::uint64_t>(0, 20));
@@ -66,7 +66,7 @@
 
 /// Simulated databases that the platform runs: a fence demotes the database or holds its log instead of
 /// raising its term, and an external service promotes.
-class ReceiptsTest : public testing::Test {
+class SemiSynchronousGroupTest : public testing::Test {
  protected:
   struct Database {
     bool reachable = true;
@@ -74,7 +74,8 @@
     core::LogPosition received{1, 50};
   };
 
-  ReceiptsTest() : coordinator_([this](core::Instant, protocol::Revision) { return followed_; }) {
+  SemiSynchronousGroupTest()
+      : coordinator_([this](core::Instant, protocol::Revision) { return revision_applied_; }) {
     group_.name = core::GroupName("g");
     group_.self_registered = true;
     group_.sync_replicas = 1;
@@ -116,13 +117,13 @@
     }
   }
 
-  void run(core::Duration duration, int suspecting = 0,
+  void run(core::Duration duration, int suspecting_daemons = 0,
            protocol::Suspicion suspicion = protocol::Suspicion::kUnreachable) {
     const core::Instant end = now_ + duration;
     while (now_ < end) {
       now_ += kTickInterval;
       if (!primary().empty()) {
-        suspect("a", primary() == "a" ? suspecting : 0, suspicion);
+        suspect("a", primary() == "a" ? suspecting_daemons : 0, suspicion);
       }
       coordinator_.tick(now_);
       for (const Effect& effect : coordinator_.take_effects()) {
@@ -180,7 +181,7 @@
   }
 
   core::Instant now_ = core::Instant(std::chrono::hours(1));
-  bool followed_ = true;
+  bool revision_applied_ = true;
   Coordinator coordinator_;
   protocol::Configuration configuration_;
   protocol::Group group_;
@@ -188,13 +189,13 @@
   std::vector<std::string> promoted_;
 };
 
-TEST_F(ReceiptsTest, ThePrimaryThatIsThereIsAdopted) {
+TEST_F(SemiSynchronousGroupTest, ExistingPrimaryIsAdopted) {
   run(milliseconds(500));
   EXPECT_EQ(primary(), "a");
   EXPECT_TRUE(promoted_.empty());
 }
 
-TEST_F(ReceiptsTest, ADeadPrimaryIsReplacedByTheFurthestReplica) {
+TEST_F(SemiSynchronousGroupTest, DeadPrimaryIsReplacedByTheMostUpToDateReplica) {
   run(milliseconds(500));
   databases_["a"].reachable = false;
   databases_["b"].received = {1, 60};
@@ -202,19 +203,19 @@
   EXPECT_EQ(primary(), "b");
 }
 
-TEST_F(ReceiptsTest, NoPrimaryIsNamedWhileADaemonMayTrustTheOldOne) {
+TEST_F(SemiSynchronousGroupTest, NoPrimaryIsCommittedWhileADaemonMayUseTheOldOne) {
   run(milliseconds(500));
   databases_["a"].reachable = false;
-  followed_ = false;
+  revision_applied_ = false;
   run(milliseconds(3000), 4);
   EXPECT_EQ(primary(), "") << "the promoted database must not be committed as primary yet";
   EXPECT_FALSE(promoted_.empty());
-  followed_ = true;
+  revision_applied_ = true;
   run(milliseconds(500), 4);
   EXPECT_NE(primary(), "");
 }
 
-TEST_F(ReceiptsTest, OneReplicaAloneIsNotPromoted) {
+TEST_F(SemiSynchronousGroupTest, ReplicaIsNotPromotedWhileTheOtherIsUnfenced) {
   run(milliseconds(500));
   databases_["a"].reachable = false;
   databases_["c"].reachable = false;
@@ -226,34 +227,34 @@
   EXPECT_FALSE(promoted_.empty());
 }
 
-TEST_F(ReceiptsTest, APrimaryThatSomeDaemonsAndTheLeaderHaveLostIsReplaced) {
+TEST_F(SemiSynchronousGroupTest, PrimaryUnreachableForSomeDaemonsAndTheLeaderIsReplaced) {
   run(milliseconds(500));
   databases_["a"].reachable = false;
   run(milliseconds(3000), 1);
   EXPECT_NE(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, APrimaryThatOnlySomeDaemonsHaveLostStays) {
+TEST_F(SemiSynchronousGroupTest, PrimaryUnreachableForSomeDaemonsOnlyIsNotReplaced) {
   run(milliseconds(500));
   run(milliseconds(3000), 2);
   EXPECT_EQ(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, APrimaryWithoutReceiptsIsReplaced) {
+TEST_F(SemiSynchronousGroupTest, PrimaryWithoutReplicaAcknowledgementsIsReplaced) {
   run(milliseconds(500));
   databases_["a"].received = {1, 70};
   run(milliseconds(3000), 3, protocol::Suspicion::kReplicationStalled);
   EXPECT_NE(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, OneWriterIsEnoughToTellOfMissingReceipts) {
+TEST_F(SemiSynchronousGroupTest, OneStallReportSufficesWhenReplicaAcknowledgementsAreMissing) {
   run(milliseconds(500));
   databases_["a"].received = {1, 70};
   run(milliseconds(3000), 1, protocol::Suspicion::kReplicationStalled);
   EXPECT_NE(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, AStallIsToldOfAPrimaryThatANewLeaderHasNeverSeen) {
+TEST_F(SemiSynchronousGroupTest, StallReportBeforeANewLeadersFirstProbeAnswerDoesNotCrash) {
   // A new control leader dereferenced the missing status of a primary that it had never reached (signal 11).
   run(milliseconds(500));
   coordinator_.on_leadership(now_, false);
@@ -263,13 +264,13 @@
   EXPECT_EQ(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, AStallThatTheLeaderDoesNotSeeChangesNothing) {
+TEST_F(SemiSynchronousGroupTest, StallThatTheLeaderDoesNotConfirmIsIgnored) {
   run(milliseconds(500));
   run(milliseconds(3000), 2, protocol::Suspicion::kReplicationStalled);
   EXPECT_EQ(primary(), "a");
 }
 
-TEST_F(ReceiptsTest, ALeavingPrimaryIsReplacedSoon) {
+TEST_F(SemiSynchronousGroupTest, LeavingPrimaryIsReplacedWithoutNoticePeriod) {
   run(milliseconds(500));
   group_.databases[0].draining = true;
   commit();
@@ -278,7 +279,7 @@
   EXPECT_NE(primary(), "");
 }
 
-TEST_F(ReceiptsTest, ADepartedReplicaCountsUntilAnotherHasCaughtUp) {
+TEST_F(SemiSynchronousGroupTest, DepartedReplicaIsNotRemovedUntilAnotherHasCaughtUp) {
   run(milliseconds(500));
   databases_["a"].received = {1, 80};
   databases_["b"].received = {1, 60};
