--- a/src/failover/coordinator.cpp
+++ b/src/failover/coordinator.cpp
@@ -81,7 +81,7 @@
   }
 }
 
-void Coordinator::on_daemon_gone(core::Instant, const core::DaemonId& daemon) {
+void Coordinator::on_daemon_removed(core::Instant, const core::DaemonId& daemon) {
   last_heartbeats_.erase(daemon);
   const auto reported = reported_groups_.extract(daemon);
   if (reported.empty()) {
--- a/src/failover/daemon_leases.hpp
+++ b/src/failover/daemon_leases.hpp
@@ -41,11 +41,11 @@
   protocol::HeartbeatReply on_heartbeat(core::Instant now, const protocol::Heartbeat& heartbeat,
                                         bool has_quorum);
   /// True when the heartbeat differs from the configuration: the daemon is new, restarted, has other
-  /// addresses or another zone, or is leaving. The driver then proposes the daemon that `described_by`
-  /// returns.
+  /// addresses or another zone, or is leaving. The driver then proposes the daemon that
+  /// `daemon_from_heartbeat` returns.
   [[nodiscard]] bool needs_admission(const protocol::Heartbeat& heartbeat) const;
   /// Builds the configuration entry of a daemon from its heartbeat.
-  static protocol::Daemon described_by(const protocol::Heartbeat& heartbeat);
+  static protocol::Daemon daemon_from_heartbeat(const protocol::Heartbeat& heartbeat);
 
   /// The daemon has drained: it has no database connections left and can be removed at once.
   void on_departure(core::Instant now, const protocol::Departure& departure);
@@ -56,7 +56,7 @@
 
   /// True when no daemon in the configuration can hold a lease while using a configuration older than
   /// `revision`: each daemon has applied `revision`, has departed, or its lease must have expired.
-  [[nodiscard]] bool followed_or_expired(core::Instant now, protocol::Revision revision) const;
+  [[nodiscard]] bool applied_or_lease_expired(core::Instant now, protocol::Revision revision) const;
   /// Lowest revision that every daemon in the configuration reports as settled; 0 until each of them has sent
   /// a heartbeat to this leader.
   [[nodiscard]] protocol::Revision settled_everywhere() const;
--- a/src/failover/departure_watch.cpp
+++ b/src/failover/departed_database_removal.cpp
@@ -1,4 +1,4 @@
-#include "failover/departure_watch.hpp"
+#include "failover/departed_database_removal.hpp"
 
 #include <algorithm>
 
@@ -30,7 +30,7 @@
                  other_status != nullptr && other_status->received >= primary_position;
         });
     if (caught_up) {
-      effects.emplace_back(ProposeRemove{departed.id});
+      effects.emplace_back(ProposeRemoveDatabase{departed.id});
     }
   }
 }
--- a/src/failover/effects.hpp
+++ b/src/failover/effects.hpp
@@ -45,7 +45,7 @@
 
 /// Proposes a replicated change: append TermStart{new_term} without a primary to the group's terms. No effect
 /// unless the group's last term is still `expected_term` (0: the group has no term).
-struct ProposeBegin {
+struct ProposeBeginPrimaryChange {
   core::GroupName group;
   core::Term expected_term = 0;
   core::Term new_term = 0;
@@ -53,7 +53,7 @@
 
 /// Proposes a replicated change: set the primary and start position of the group's last term. No effect
 /// unless the last term is still `term` and has no primary.
-struct ProposeComplete {
+struct ProposeCompletePrimaryChange {
   core::GroupName group;
   core::Term term = 0;
   core::DatabaseId primary;
@@ -61,18 +61,18 @@
 };
 
 /// Proposes a replicated change: record the primary that a self-registered group already has.
-struct ProposeAdopt {
+struct ProposeAdoptPrimary {
   core::GroupName group;
   core::Term term = 0;
   core::DatabaseId primary;
 };
 
 /// Proposes a replicated change: remove a departed database from its group.
-struct ProposeRemove {
+struct ProposeRemoveDatabase {
   core::DatabaseId database;
 };
 
-using Effect = std::variant<ProbeDatabase, FenceDatabase, PromoteDatabase, ProposeBegin, ProposeComplete,
-                            ProposeAdopt, ProposeRemove>;
+using Effect = std::variant<ProbeDatabase, FenceDatabase, PromoteDatabase, ProposeBeginPrimaryChange,
+                            ProposeCompletePrimaryChange, ProposeAdoptPrimary, ProposeRemoveDatabase>;
 
 }  // namespace pipitpond::failover
--- a/src/failover/group_coordinator.cpp
+++ b/src/failover/group_coordinator.cpp
@@ -140,7 +140,7 @@
     const bool is_primary =
         status != nullptr && status->role == database::Role::kPrimary && probes_.reachable(now, database.id);
     if (is_primary) {
-      effects_.emplace_back(ProposeAdopt{group_.name, status->term, database.id});
+      effects_.emplace_back(ProposeAdoptPrimary{group_.name, status->term, database.id});
       return;
     }
   }
@@ -277,7 +277,7 @@
 
 void GroupCoordinator::propose_begin(core::Instant now) {
   proposed_at_ = now;
-  effects_.emplace_back(ProposeBegin{group_.name, last_term(), proposed_term_});
+  effects_.emplace_back(ProposeBeginPrimaryChange{group_.name, last_term(), proposed_term_});
 }
 
 // --- Quiesce a leaving primary -----------------------------------------------------------------------------
@@ -464,7 +464,7 @@
     return;
   }
   proposed_at_ = now;
-  effects_.emplace_back(ProposeComplete{group_.name, proposed_term_, candidate_, term_start_});
+  effects_.emplace_back(ProposeCompletePrimaryChange{group_.name, proposed_term_, candidate_, term_start_});
 }
 
 // --- Committed state ---------------------------------------------------------------------------------------
--- a/tests/failover_logic/example_group.cpp
+++ b/tests/failover_logic/example_group.cpp
@@ -132,9 +132,9 @@
           fence(one);
         } else if constexpr (std::is_same_v<EffectType, PromoteDatabase>) {
           promote(one);
-        } else if constexpr (std::is_same_v<EffectType, ProposeBegin>) {
+        } else if constexpr (std::is_same_v<EffectType, ProposeBeginPrimaryChange>) {
           begin(one);
-        } else if constexpr (std::is_same_v<EffectType, ProposeComplete>) {
+        } else if constexpr (std::is_same_v<EffectType, ProposeCompletePrimaryChange>) {
           complete(one);
         }
       },
@@ -199,7 +199,7 @@
   coordinator_->on_promote_answer(now_, kGroup, database::PromoteAnswer{effect.database, effect.term, start});
 }
 
-void ExampleGroup::begin(const ProposeBegin& effect) {
+void ExampleGroup::begin(const ProposeBeginPrimaryChange& effect) {
   if (drop_proposals_ || term() != effect.expected_term) {
     return;
   }
@@ -208,7 +208,7 @@
   commit();
 }
 
-void ExampleGroup::complete(const ProposeComplete& effect) {
+void ExampleGroup::complete(const ProposeCompletePrimaryChange& effect) {
   if (drop_proposals_ || term() != effect.term || !primary().empty()) {
     return;
   }
