--- a/src/control/leader_duties.cpp
+++ b/src/control/leader_duties.cpp
@@ -44,9 +44,9 @@
   timer_.cancel();
 }
 
-DatabaseCallAnswers LeaderDuties::make_answers() {
+DatabaseCallCallbacks LeaderDuties::make_answers() {
   using core::BootClock;
-  DatabaseCallAnswers answers;
+  DatabaseCallCallbacks answers;
   answers.status = [this](const database::StatusAnswer& status) {
     coordinator_.on_probe_answer(BootClock::now(), status);
     carry_out_effects();
