--- a/src/control/announcer.hpp
+++ b/src/control/announcer.hpp
@@ -1,9 +1,9 @@
-// Tells daemons that a control replica is up.
+// Announces a started control replica to the proxy daemons over UDP.
 //
-// A daemon without a disk knows only the replicas that its settings name. After a loss of power of everything
-// those may be the last to return, while others that are up hold the configuration, and in it the addresses
-// of all daemons. On a fleet of 291 daemons and 9 replicas the three named replicas came 0.35 s after the
-// first one, and no daemon served anything before them.
+// A daemon without a disk knows only the control replicas that its settings name. After a power failure of
+// the whole fleet these may restart last, while other replicas already hold the configuration with the
+// addresses of all daemons. Without announcements, 291 daemons served no request until the three configured
+// ones of 9 replicas were up, 0.35 s after the first replica.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -20,20 +20,21 @@
 
 namespace pipitpond::control {
 
-/// Daemons that have not been heard since this replica started.
+/// Returns the internal endpoints of the daemons that have not contacted this replica since it started.
 using SilentDaemons = std::function<std::vector<core::Endpoint>()>;
 
-/// Sends a few rounds of announcements after a start.
+/// Sends a fixed number of rounds of announcements after the replica has started.
 class Announcer {
  public:
   Announcer(boost::asio::io_context& io, core::Endpoint self, SilentDaemons silent_daemons);
 
-  /// Returns after the last round, or when no daemon is silent any more. The announcer must outlive the call.
+  /// Sends all rounds. Each round goes to the daemons that are still silent. The announcer must outlive the
+  /// call.
   boost::asio::awaitable<void> run();
-  /// Ends the rounds soon.
+  /// Makes run() return without sending further datagrams.
   void stop() { stopped_ = true; }
 
-  /// Announcements sent since the start.
+  /// Announcements sent since the process started.
   [[nodiscard]] std::uint64_t sent() const { return sent_; }
 
  private:
@@ -48,12 +49,12 @@
   bool stopped_ = false;
 };
 
-/// Rounds: a daemon may start after the first ones, and datagrams may be lost. The pause doubles between
-/// them, so that the rounds end 1.9 s after the start.
+/// Several rounds, because a daemon may start after the first one and datagrams may be lost. The pause
+/// doubles after each round, so that the last round is sent 1.9 s after the start.
 inline constexpr int kAnnouncementRounds = 6;
 inline constexpr core::Duration kFirstAnnouncementPause = std::chrono::milliseconds(60);
-/// Datagrams sent at once, and the pause after them: about 30% of the processor on a machine with 0.15 of a
-/// core.
+/// Datagrams sent without a pause, and the pause after them: limits the load to about 30% of the CPU time of
+/// a machine with 0.15 of a core.
 inline constexpr std::size_t kAnnouncementsAtOnce = 32;
 inline constexpr core::Duration kPauseBetweenAnnouncements = std::chrono::milliseconds(10);
 
--- a/src/control/control_id.hpp
+++ b/src/control/control_id.hpp
@@ -1,5 +1,5 @@
-// Names of control machines. A replica's identity is its machine's name, followed by '#' and a random number
-// when it has joined after its disk was lost or later than the cluster was founded.
+// Identities of control replicas. A voter of the initial membership has its machine's name as its identity. A
+// replica that joins later, or again after the loss of its disk, appends '#' and a random number.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace pipitpond::control {
 
-/// The machine's name in an identity.
+/// Returns the part of an identity before '#'.
 std::string machine_name(const core::ControlId& id);
 
-/// The member that an operator means: by its whole identity, or by its machine's name if just one member has
-/// it. Null: none.
+/// Finds the member with the identity `named`, or else the only member on the machine `named`. Returns null
+/// if there is none or if several members match.
 const raft::Member* find_member(const raft::Membership& membership, const core::ControlId& named);
 
 }  // namespace pipitpond::control
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -13,9 +13,10 @@
 namespace pipitpond::control {
 namespace {
 
-/// The process can't trust its disk any more: what it has in memory must not be acted on.
+/// Terminates without cleanup: after an unrecoverable disk error the state in memory must not be used.
 [[noreturn]] void end_at_once(const core::Error& error) {
-  logging::logger("control")->critical("The process ends: {}", core::describe(error));
+  logging::logger("control")->critical("unrecoverable error, terminating the process: {}",
+                                       core::describe(error));
   std::_Exit(runtime::kExitFailed);
 }
 
--- a/src/control/control_process.hpp
+++ b/src/control/control_process.hpp
@@ -1,4 +1,4 @@
-// The process of a control replica, whatever its adapters.
+// Entry point of the control daemon, shared by all executables that provide their own adapters.
 #pragma once
 
 #include "control/control_server.hpp"
@@ -7,8 +7,8 @@
 
 namespace pipitpond::control {
 
-/// Runs a control replica until it is told to stop; returns the exit code. Ends the process at once when its
-/// disk can't be trusted any more: what it has in memory must not be acted on.
+/// Runs a control replica until it is asked to stop and returns the exit code. Terminates the process
+/// immediately after an unrecoverable disk error, because the state in memory may differ from the disk.
 int run_control(int argc, char** argv, const settings::Program& program, ControlSettings& settings,
                 const ControlAdapters& adapters);
 
--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -17,20 +17,20 @@
 
 using boost::asio::awaitable;
 
-/// Between looks at whether all other members are connected.
+/// Interval at which connections to all other members are checked.
 constexpr core::Duration kConnectInterval = std::chrono::milliseconds(50);
-/// Between attempts to start on a disk without room.
+/// Interval between attempts to open the data folder while its disk is full.
 constexpr core::Duration kFullDiskRetryAtStart = std::chrono::milliseconds(500);
 constexpr core::Duration kHandOverLimit = std::chrono::seconds(3);
 constexpr core::Duration kFinishLimit = std::chrono::seconds(5);
-/// For telling daemons and other replicas that what they still send here is not handled.
+/// Time for rejecting what daemons and other replicas still send during the shutdown.
 constexpr core::Duration kFarewellLimit = std::chrono::milliseconds(500);
 constexpr core::Duration kStopPoll = std::chrono::milliseconds(20);
-/// Looks for the applied state, which follows soon after the start, before daemons are told of it.
+/// How often announce() polls for an applied configuration, which the Raft log restores soon after the start.
 constexpr int kLooksForState = 10;
 constexpr std::uint32_t kMillisPerSecond = 1000;
 
-/// Counts a request while it is in progress.
+/// Increments a counter of requests for its own lifetime.
 class InProgress {
  public:
   explicit InProgress(std::size_t& count) : count_(count) { ++count_; }
@@ -49,7 +49,7 @@
   return response;
 }
 
-/// "Retry-After" takes whole seconds; the body has milliseconds.
+/// Converts the milliseconds in the body to the whole seconds of the header Retry-After, rounded up.
 std::string retry_after_seconds(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   std::uint32_t millis = 0;
@@ -120,7 +120,7 @@
   config.election_timeout_min = options_.election_timeout_min;
   config.election_timeout_max = options_.election_timeout_max;
   config.open_membership = options_.open_membership;
-  // A majority must be left when as many are lost.
+  // A majority must remain after the loss of `tolerated_losses` voters.
   config.least_voters = 2 * std::size_t{options_.tolerated_losses} + 1;
   ReplicaEvents events;
   events.configuration_changed = [this](const protocol::Configuration& value) { on_configuration(value); };
@@ -198,7 +198,7 @@
     peers_.send(member->internal, message);
     return;
   }
-  // A replica that joins, or one that has just been removed: answer where it was heard.
+  // The receiver is joining or was just removed, so its endpoint is unknown: reply over its own connection.
   const auto peer = daemons_->peer_of(message.to);
   if (peer && wire_) {
     wire_->notify(*peer, wire::MessageType::kRaft, wire::pack(message));
@@ -323,8 +323,8 @@
   }
 }
 
-/// Messages of consensus are dropped while there is no connection. A candidate whose first requests only open
-/// connections would lose its election to nobody and wait for the next one.
+/// Raft messages are dropped while there is no connection. Without this loop, the first vote requests of a
+/// candidate would only open the connections, and the election would time out with no winner.
 awaitable<void> ControlServer::keep_members_connected() {
   const raft::Node& node = replica_->node();
   while (!stopping_) {
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -1,4 +1,4 @@
-// The control daemon: puts the parts together, serves daemons and operators, and stops in order.
+// The control daemon: creates its components, serves daemons and operators, and shuts down gracefully.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -26,43 +26,43 @@
 
 namespace pipitpond::control {
 
-/// An HTTP request of another interface, translated into a call of the operators' interface.
+/// An HTTP request of another API, translated into a request of the operator API.
 struct TranslatedCall {
   protocol::OperatorRequest request;
-  /// Makes the answer of the other interface.
+  /// Converts the reply into a response of the other API.
   std::function<http::Response(protocol::OperatorReply)> answer;
 };
 
-/// Translates a request; empty when it is none of the other interface.
+/// Translates a request. Returns nothing if the request does not belong to the other API.
 using TranslateRequest = std::function<std::optional<TranslatedCall>(const http::Request&)>;
 
-/// Numbers what a leader orders from outside: grows with each change of leader.
+/// Lets calls to external systems check leadership and carry a fencing token that grows with each leader.
 struct LeaderMandate {
-  std::function<bool()> holds;           ///< This replica leads and surely no other one does.
-  std::function<std::uint64_t()> token;  ///< The leader's term.
+  std::function<bool()> holds;           ///< This replica leads and a quorum has confirmed it recently.
+  std::function<std::uint64_t()> token;  ///< The fencing token: the Raft term.
 };
 
-/// Ways in which control meets systems that don't speak its own protocols. Each may be left out.
+/// Adapters to systems that do not speak the protocols of control. Each is optional.
 struct ControlAdapters {
   TranslateRequest translate_request;
   std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, LeaderMandate, DatabaseCallAnswers)>
       make_database_calls;
 };
 
-/// One control process.
+/// The components of one control process.
 class ControlServer {
  public:
-  /// `failed` is called when the process must end because its disk can't be trusted any more.
+  /// `failed` is called after an unrecoverable disk error; it must terminate the process.
   ControlServer(boost::asio::io_context& io, ControlOptions options,
                 std::function<void(const core::Error&)> failed, ControlAdapters adapters = {});
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
-  /// Opens the disk and the ports.
+  /// Opens the data folder, listens on the ports and starts all components.
   boost::asio::awaitable<core::Result<void>> start();
-  /// Takes over the replicas that the settings name; all else needs a restart.
+  /// Applies the peers of changed settings. All other settings need a restart.
   void reload(const ControlOptions& options);
-  /// Planned stop: hands leadership over, lets requests in progress finish, closes everything.
+  /// Graceful shutdown: transfers leadership, waits for requests in progress and closes all connections.
   boost::asio::awaitable<void> stop();
 
   [[nodiscard]] const Replica& replica() const { return *replica_; }
--- a/src/control/daemon_changes.cpp
+++ b/src/control/daemon_changes.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::awaitable;
 
-/// After a proposal that changed nothing or failed: each one costs every replica a sync.
+/// Pause after a proposal that failed or changed nothing: each proposal costs every replica a disk sync.
 constexpr core::Duration kRefusedRest = std::chrono::milliseconds(200);
 
 core::DaemonId daemon_of(const DaemonOperation& operation) {
--- a/src/control/daemon_changes.hpp
+++ b/src/control/daemon_changes.hpp
@@ -1,7 +1,6 @@
-// Collects what control itself changes about daemons and proposes it together, so that a fleet that starts, a
-// zone that is lost or hundreds of restarts make a few revisions instead of one or more for each daemon.
-// Every revision is fetched, stored and applied by every daemon: one for each daemon would cost the fleet
-// N^2.
+// Batches the changes that control itself makes to the list of daemons, so that the start of a fleet, the
+// loss of a zone or hundreds of restarts create a few revisions instead of one or more per daemon. Every
+// daemon fetches, stores and applies every revision: with one revision per daemon the cost would grow as N^2.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -23,17 +22,18 @@
 
 namespace pipitpond::control {
 
-/// One change of one daemon.
+/// One change to one daemon.
 using DaemonOperation =
     std::variant<configuration::AdmitDaemon, configuration::SetDaemonState, configuration::RemoveDaemon>;
 
-/// Least time between the beginnings of two proposals. Daemons are told of revisions no more often than that.
+/// Minimum time between the starts of two proposals. Daemons are not notified of revisions more often, so
+/// that a shorter interval would only create more revisions.
 inline constexpr core::Duration kDaemonChangesInterval = kNoticeInterval;
-/// Changes that one proposal holds at most.
+/// Maximum number of changes in one proposal.
 inline constexpr std::size_t kMaxDaemonChanges = 1000;
 
-/// Queue of changes of daemons. One proposal is in progress at a time; a change that comes in a quiet time is
-/// proposed at once. Must outlive its proposals: stop the io_context first.
+/// Queue of changes to daemons. At most one proposal is in progress; a change is proposed at once if none is
+/// and the interval since the last one has passed. Must outlive its proposals: stop the io_context first.
 class DaemonChanges {
  public:
   using Propose = std::function<boost::asio::awaitable<core::Result<configuration::CommandResult>>(
@@ -44,11 +44,11 @@
   DaemonChanges(const DaemonChanges&) = delete;
   DaemonChanges& operator=(const DaemonChanges&) = delete;
 
-  /// Asks for a change. While one for the same daemon waits or is in progress, a further one is dropped and
-  /// false returned: the caller asks again.
+  /// Queues a change. Returns false and drops it while another change to the same daemon is queued or in
+  /// progress; the caller must try again later.
   bool add(const DaemonOperation& operation);
-  /// Asks for a removal, which takes the place of a change that waits. Returns once it was decided, with the
-  /// proposal's failure if it has one, or kTimeout.
+  /// Queues a removal, which replaces a queued change to the same daemon, and waits until its proposal has
+  /// ended. Fails with the error of the proposal, or with kTimeout.
   boost::asio::awaitable<core::Result<void>> remove(configuration::RemoveDaemon removal,
                                                     core::Duration timeout);
 
@@ -57,7 +57,7 @@
 
   struct Waiting {
     DaemonOperation operation;
-    std::vector<std::shared_ptr<Done>> done;  ///< Told what came of it.
+    std::vector<std::shared_ptr<Done>> done;  ///< Completed with the result of the proposal.
   };
 
   using Batch = std::map<core::DaemonId, Waiting>;
--- a/src/control/daemon_service.cpp
+++ b/src/control/daemon_service.cpp
@@ -41,8 +41,9 @@
     case MessageType::kDeparture:
       co_return co_await on_departure(std::move(body));
     default:
-      co_return core::fail(core::ErrorKind::kInvalidArgument, "Control doesn't handle this type of message.",
-                           "Check that the endpoint is of the kind of process that you mean.");
+      co_return core::fail(core::ErrorKind::kInvalidArgument,
+                           "Control does not handle messages of this type.",
+                           "Check that the endpoint belongs to the intended kind of process.");
   }
 }
 
@@ -52,7 +53,7 @@
 }
 
 void DaemonService::note_heard(const core::DaemonId& daemon) {
-  // Only names that control has admitted: what comes over the network must not fill the set.
+  // Only admitted daemons, so that requests with arbitrary names cannot grow the set without bound.
   if (replica_.machine().configuration().daemons.contains(daemon)) {
     heard_daemons_.insert(daemon);
   }
@@ -143,7 +144,7 @@
 
 core::Error DaemonService::not_leader() const {
   const auto leader = leader_endpoint(replica_.node());
-  const std::string remedy = leader ? "Ask " + core::to_string(*leader) + "." : "Ask again in a moment.";
+  const std::string remedy = leader ? "Ask " + core::to_string(*leader) + "." : "Retry in a moment.";
   return core::Error{core::ErrorKind::kNotLeader, "This control replica does not lead.", remedy, 100};
 }
 
--- a/src/control/daemon_service.hpp
+++ b/src/control/daemon_service.hpp
@@ -1,4 +1,4 @@
-// Answers daemons and other control replicas over the internal protocol.
+// Serves proxy daemons and other control replicas over the internal protocol.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,34 +18,33 @@
 
 namespace pipitpond::control {
 
-/// Handles an operator's request that a follower passed on.
+/// Handles an operator's request that a follower has forwarded to the leader.
 using HandleForwarded =
     std::function<boost::asio::awaitable<protocol::OperatorReply>(protocol::OperatorRequest)>;
 
-/// The internal protocol's handler.
+/// Handles the messages of the internal protocol.
 class DaemonService {
  public:
   DaemonService(Replica& replica, LeaderDuties& duties, HandleForwarded handle_forwarded);
 
-  /// For wire::Server.
+  /// Handles one message; a handler for wire::Server. Returns the body of the reply.
   boost::asio::awaitable<core::Result<std::string>> handle(wire::PeerId peer, wire::MessageType type,
                                                            std::string body);
   void peer_closed(wire::PeerId peer);
 
-  /// Connections that daemons use: they are told of new revisions.
+  /// Connections of daemons, over which they are notified of new revisions.
   [[nodiscard]] const std::set<wire::PeerId>& daemon_peers() const { return daemon_peers_; }
-  /// The last connection on which each replica that called here was heard.
+  /// The connection over which each other replica last sent a Raft message to this one.
   [[nodiscard]] const std::map<core::ControlId, wire::PeerId>& replica_peers() const {
     return replica_peers_;
   }
-  /// The same for one; for answers to one whose endpoint is not known.
+  /// The connection of one replica, for replies to a replica whose endpoint is unknown.
   [[nodiscard]] std::optional<wire::PeerId> peer_of(const core::ControlId& replica) const;
-  /// Internal endpoints of the configuration's daemons that have not asked this replica anything since its
-  /// start.
+  /// Internal endpoints of the configured daemons that have sent no request to this replica since it started.
   [[nodiscard]] std::vector<core::Endpoint> silent_daemons() const;
-  /// Heartbeats answered since start.
+  /// Heartbeats answered since the process started.
   [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
-  /// Messages received since start, those of other replicas included.
+  /// Messages received since the process started, including those of other replicas.
   [[nodiscard]] std::uint64_t messages() const { return messages_; }
   [[nodiscard]] std::uint64_t fetches() const { return fetches_; }
   [[nodiscard]] std::uint64_t fetch_bytes() const { return fetch_bytes_; }
@@ -64,7 +63,7 @@
   HandleForwarded handle_forwarded_;
   FetchReplies fetch_replies_;
   std::set<wire::PeerId> daemon_peers_;
-  std::set<core::DaemonId> heard_daemons_;  ///< Of those that the configuration names.
+  std::set<core::DaemonId> heard_daemons_;  ///< Only daemons that are in the configuration.
   std::map<core::ControlId, wire::PeerId> replica_peers_;
   std::uint64_t messages_ = 0;
   std::uint64_t heartbeats_ = 0;
@@ -72,7 +71,7 @@
   std::uint64_t fetch_bytes_ = 0;
 };
 
-/// Where the current leader is reached by other processes of the fleet; empty when none is known.
+/// Internal endpoint of the current leader, or nothing if no leader is known.
 std::optional<core::Endpoint> leader_endpoint(const raft::Node& node);
 
 }  // namespace pipitpond::control
--- a/src/control/database_calls.cpp
+++ b/src/control/database_calls.cpp
@@ -14,7 +14,7 @@
 
 using boost::asio::awaitable;
 
-/// One exchange on a connection of its own.
+/// Sends one request over a new connection.
 awaitable<core::Result<http::Response>> exchange(boost::asio::io_context& io, core::Endpoint endpoint,
                                                  http::Request request, core::Duration connect_timeout,
                                                  core::Duration timeout) {
@@ -34,7 +34,7 @@
   return request;
 }
 
-/// The answer in a response with status 200; empty otherwise.
+/// Parses the body of a response with status 200. Returns nothing for any other response.
 template <typename Answer>
 std::optional<Answer> answer_of(const core::Result<http::Response>& response) {
   if (!response || response.value().status != 200) {
@@ -47,7 +47,7 @@
   return std::move(parsed.value());
 }
 
-/// The newer term that a refusal names; empty when the response is no refusal for that reason.
+/// Returns the term in a refusal if it is newer than `asked`, and nothing for any other response.
 std::optional<core::Term> newer_term_of(const core::Result<http::Response>& response, core::Term asked) {
   if (!response || response.value().status == 200) {
     return std::nullopt;
@@ -83,7 +83,7 @@
   const auto response =
       co_await exchange(io_, call.endpoint, std::move(request), timeouts_.connect, timeouts_.status);
   const auto status = answer_of<database::StatusAnswer>(response);
-  // Another database at this endpoint must not pass for the one that was meant.
+  // Another database may listen at this endpoint; its status must not be taken for the requested one's.
   if (status && status->database == call.database) {
     answers_.status(*status);
   } else {
--- a/src/control/database_calls.hpp
+++ b/src/control/database_calls.hpp
@@ -1,5 +1,6 @@
-// The leader's calls to databases: status, fence and promote, each on a connection of its own with a timeout.
-// A fresh connection per call costs a round trip and spares every doubt about late answers.
+// The leader's calls to databases: status, fence and promote. Each uses its own connection and timeout: a new
+// connection costs a round trip, but a late reply to an earlier call can't be taken for the reply to this
+// one.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,7 +15,6 @@
 
 namespace pipitpond::control {
 
-/// Timeouts of the calls.
 struct DatabaseCallTimeouts {
   core::Duration connect = std::chrono::milliseconds(200);
   core::Duration status = std::chrono::milliseconds(250);
@@ -22,7 +22,7 @@
   core::Duration promote = std::chrono::milliseconds(1000);
 };
 
-/// Receives what came of a call; all on the io_context.
+/// Callbacks for the results of calls. All run on the io_context.
 struct DatabaseCallAnswers {
   std::function<void(const database::StatusAnswer&)> status;
   std::function<void(const core::DatabaseId&)> status_failed;
@@ -30,27 +30,27 @@
   std::function<void(const failover::FenceDatabase&)> fence_failed;
   std::function<void(const failover::PromoteDatabase&, const database::PromoteAnswer&)> promoted;
   std::function<void(const failover::PromoteDatabase&)> promote_failed;
-  /// A fence or promotion was refused: the database has promised a newer term.
+  /// The database refused a fence or promotion, because it has already accepted a newer term.
   std::function<void(const core::GroupName&, const core::DatabaseId&, core::Term asked, core::Term newer)>
       refused;
 };
 
-/// Makes the calls. Must outlive them: stop the io_context first. One implementation for each protocol that
-/// databases speak to control.
+/// Makes the calls over one protocol between control and databases. Must outlive its calls: stop the
+/// io_context first.
 class DatabaseCalls {
  public:
   virtual ~DatabaseCalls() = default;
 
-  /// Begin a call; exactly one of its answers follows.
+  /// Start a call. Exactly one of its callbacks is called when it ends.
   virtual void probe(failover::ProbeDatabase call) = 0;
   virtual void fence(failover::FenceDatabase call) = 0;
   virtual void promote(failover::PromoteDatabase call) = 0;
 };
 
-/// Makes the calls of one process, which report to the given answers.
+/// Creates the DatabaseCalls of a process, which report to the given callbacks.
 using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallAnswers answers)>;
 
-/// The project's own protocol: HTTP with JSON.
+/// Calls over the project's own protocol: HTTP with JSON.
 class HttpDatabaseCalls : public DatabaseCalls {
  public:
   HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts, DatabaseCallAnswers answers);
--- a/src/control/disk_start.cpp
+++ b/src/control/disk_start.cpp
@@ -13,7 +13,7 @@
 
 constexpr core::Duration kAskPeerTimeout = std::chrono::milliseconds(300);
 
-/// True when a peer answers that it has a configuration: the cluster was founded before.
+/// Returns true if a peer reports a configuration, which means that the cluster was bootstrapped before.
 awaitable<bool> cluster_exists(ControlOptions options, PeerChannels& peers) {
   for (const Peer& peer : options.peers) {
     if (peer.name == options.name) {
@@ -27,7 +27,7 @@
   co_return false;
 }
 
-/// The first state of a new cluster; the same on all its voters.
+/// Initial state of a new cluster; identical on all its voters.
 raft::PersistedState founding_state(const ControlOptions& options) {
   raft::Membership membership;
   for (const Peer& peer : options.peers) {
--- a/src/control/disk_start.hpp
+++ b/src/control/disk_start.hpp
@@ -1,5 +1,5 @@
-// What a control replica starts from: its disk's state, a new cluster's first state, or nothing when it
-// joins.
+// Opens the data folder of a control replica: with the state on disk, the initial state of a new cluster, or
+// an empty state if the replica is to join an existing cluster.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,16 +13,16 @@
 
 namespace pipitpond::control {
 
-/// An opened disk.
+/// An opened data folder.
 struct StartedDisk {
   std::unique_ptr<storage::FileDisk> disk;
   std::unique_ptr<storage::RaftStorage> storage;
   storage::Identity identity;
 };
 
-/// Opens the data folder. An empty one founds the cluster if the options allow it and no peer that answers
-/// knows of one; otherwise it gets a fresh identity, under which the replica asks to join. A machine that
-/// lost its disk thus never comes back under an identity that has voted.
+/// Opens the data folder. An empty one bootstraps the cluster if the options allow it and no peer reports an
+/// existing one. Otherwise it gets a new identity under which the replica asks to join, so that a machine
+/// that has lost its disk never reuses an identity that has voted.
 boost::asio::awaitable<core::Result<StartedDisk>> start_disk(ControlOptions options, PeerChannels& peers);
 
 }  // namespace pipitpond::control
--- a/src/control/fetch_replies.hpp
+++ b/src/control/fetch_replies.hpp
@@ -1,5 +1,5 @@
-// Packed answers to daemons' fetches, handed out page by page. After a change nearly all daemons ask for the
-// same: it is packed once.
+// Cache of serialized replies to configuration fetches, served in pages. After a change nearly all daemons
+// fetch from the same revision, so that a reply is serialized once for all of them.
 #pragma once
 
 #include <cstddef>
@@ -14,32 +14,33 @@
 
 namespace pipitpond::control {
 
-/// A daemon has one page under way from each replica, so that a fleet of 300 that starts over slow links
-/// makes a replica hold 10 MB at most (121 MB at 86 daemons when whole answers waited to be sent), and a lost
-/// connection costs one page. 32 KB take 0.13 s on a link of 2 Mbit/s.
+/// Size of a page. A daemon requests one page at a time from a replica, so that 300 daemons that start over
+/// slow links make a replica buffer at most 10 MB (unpaged replies took 121 MB for 86 daemons), and a lost
+/// connection wastes one page. 32 KB take 0.13 s on a 2 Mbit/s link.
 inline constexpr std::size_t kFetchPageBytes = 32UL * 1024;
-/// Answers for the current revision that are kept at most; a whole configuration is 180 KB at the target
-/// size.
+/// Maximum number of cached replies for the current revision. A complete configuration has 180 KB at the
+/// target fleet size.
 inline constexpr std::size_t kMaxKeptReplies = 16;
-/// Answers of several pages that are kept for daemons that have begun one, in bytes; least lately used out.
-/// Without them a configuration that changes faster than it is sent would never be sent whole.
+/// Maximum size of the multi-page replies kept for daemons that have fetched a part of them; the least
+/// recently used ones are evicted. Without them, a daemon could never fetch all of a configuration that
+/// changes faster than it is transferred.
 inline constexpr std::size_t kMaxTransferBytes = 16UL * 1024 * 1024;
 
-/// Answers for the current revision, by the revision that the asker has, and those of which daemons have
-/// pages.
+/// Caches replies that lead to the current revision, by the revision that the daemon has, and multi-page
+/// replies that daemons have fetched in part.
 class FetchReplies {
  public:
   explicit FetchReplies(const configuration::StateMachine& machine) : machine_(machine) {}
 
-  /// What follows `after`, packed by wire::pack_compact as protocol::FetchReply. The reference is valid until
-  /// the next call.
+  /// Returns the changes after revision `after` as a protocol::FetchReply packed by wire::pack_compact. The
+  /// reference is valid until the next call.
   const std::string& after(protocol::Revision after) { return *current_reply(after); }
-  /// The next page of the answer that the request goes on with, or the first of a new one.
+  /// Returns the next page of the reply that the request continues, or the first page of a new reply.
   protocol::FetchPage page(const protocol::FetchRequest& request);
 
  private:
   using Bytes = std::shared_ptr<const std::string>;
-  /// An answer of several pages.
+  /// A multi-page reply.
   struct Transfer {
     protocol::Revision after = 0;
     protocol::Revision revision = 0;
@@ -47,14 +48,15 @@
   };
 
   Bytes current_reply(protocol::Revision after);
-  /// The kept answer that the request goes on with; empty when there is none.
+  /// Finds the kept reply that the request continues and marks it as most recently used. Returns null if
+  /// there is none or if the offset is beyond its end.
   Bytes transfer_of(const protocol::FetchRequest& request);
   void keep(Transfer transfer);
 
   const configuration::StateMachine& machine_;
-  protocol::Revision current_ = 0;  ///< Revision that the kept answers lead to.
+  protocol::Revision current_ = 0;  ///< Revision that the replies in `packed_` lead to.
   std::map<protocol::Revision, Bytes> packed_;
-  std::deque<Transfer> transfers_;  ///< Least lately used first.
+  std::deque<Transfer> transfers_;  ///< Least recently used first.
   std::size_t transfer_bytes_ = 0;
 };
 
--- a/src/control/joiner.cpp
+++ b/src/control/joiner.cpp
@@ -14,9 +14,9 @@
 
 using boost::asio::awaitable;
 
-/// Between requests to join: at first a third of the shortest election timeout, so that a leader that is just
-/// elected hears one soon. A request is some 100 bytes to each known replica. The pause grows with the time
-/// that was spent asking.
+/// Interval between join requests: initially a third of the minimum election timeout, so that a newly elected
+/// leader receives one soon. A request sends about 100 bytes to each known replica. The interval grows with
+/// the time since the first request.
 constexpr core::Duration kJoinInterval = std::chrono::milliseconds(100);
 constexpr core::Duration kLongestJoinInterval = std::chrono::milliseconds(400);
 constexpr int kPartOfTimeAsking = 8;
--- a/src/control/joiner.hpp
+++ b/src/control/joiner.hpp
@@ -1,4 +1,4 @@
-// Asks other control replicas to be let into the membership, as long as this one is no part of it.
+// Requests to join the Raft membership while this control replica is not a member.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,27 +15,31 @@
 
 namespace pipitpond::control {
 
-/// Sends a message to the replicas that have called at this one's port, over their own connections. Of a
-/// replica that lost its disk, the other members still call the identity that was lost with it.
+/// Sends a message to all replicas with an open connection to this one, over these connections. After the
+/// loss of its disk a replica can reach members this way that it does not know: they still connect to its
+/// endpoint to send to its former identity.
 using SendToCallers = std::function<void(const raft::Message&)>;
 
+/// Sends join requests until the replica is a member.
 class Joiner {
  public:
-  /// `self` as others reach it: it stands in for the member that had its addresses.
+  /// `self` has the addresses at which others reach this replica. It replaces a member with the same
+  /// addresses.
   Joiner(boost::asio::io_context& io, const raft::Node& node, PeerChannels& peers,
          SendToCallers send_to_callers, Peer self, std::vector<Peer> configured);
 
-  /// Asks while the replica wants to join, until stop(). The joiner must outlive the call.
+  /// Sends requests at intervals while the replica is not a member, until stop(). The joiner must outlive the
+  /// call.
   boost::asio::awaitable<void> run();
   void stop() { stopped_ = true; }
-  /// Replaces the replicas that the settings name.
+  /// Replaces the peers that the settings name.
   void set_configured(std::vector<Peer> configured) { configured_ = std::move(configured); }
 
  private:
   void ask(core::Instant now);
   [[nodiscard]] std::vector<core::Endpoint> targets() const;
   [[nodiscard]] core::Duration pause(core::Instant now) const;
-  /// Says whom it asks for how long, at the first request and then once a second.
+  /// Logs the receivers and the time since the first request, at the first request and then once a second.
   void log_request(core::Instant now, const std::vector<core::Endpoint>& asked);
 
   boost::asio::io_context& io_;
--- a/src/control/json_fields.cpp
+++ b/src/control/json_fields.cpp
@@ -81,7 +81,7 @@
   seen_.insert(field);
   const auto found = json_.find(field);
   if (found == json_.end()) {
-    throw BadField{where_ + " lacks the field " + field + "."};
+    throw BadField{where_ + " has no field " + field + ", which is required."};
   }
   return *found;
 }
--- a/src/control/json_fields.hpp
+++ b/src/control/json_fields.hpp
@@ -1,5 +1,5 @@
-// Reads the fields of a JSON object that came from outside: wrong types, ranges and unknown fields are errors
-// that name the field.
+// Reads the fields of JSON objects in request bodies. A missing or unknown field, a wrong type and a value
+// out of range are errors that name the field.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 namespace pipitpond::control {
 
-/// Thrown by JsonFields; turned into a Result by parse_fields.
+/// Thrown by JsonFields. parse_fields converts it to a core::Error.
 struct BadField {
   std::string message;
 };
 
-/// The fields of one object. Ask for each, then call `no_others`.
+/// The fields of one object. Read all known fields, then call `no_others`.
 class JsonFields {
  public:
-  /// `where` names the object in errors, such as "spec.databases[0]".
+  /// `where` is the path of the object in error messages, such as "spec.databases[0]".
   JsonFields(const nlohmann::json& json, std::string where);
 
   std::string text(const std::string& field);
@@ -31,7 +31,7 @@
   const nlohmann::json& object(const std::string& field);
   const nlohmann::json& array(const std::string& field);
   [[nodiscard]] bool has(const std::string& field) const { return json_.contains(field); }
-  /// Refuses fields that were not asked for: they are most likely misspelt.
+  /// Throws if the object has a field that was not read: it is probably misspelt.
   void no_others() const;
 
  private:
@@ -43,12 +43,12 @@
   std::set<std::string> seen_;
 };
 
-/// Parses a body and hands its object to `read`, which may throw BadField.
+/// Parses a body as JSON and passes it to `read`, which may throw BadField. Fails with kInvalidArgument.
 template <typename Read>
 auto parse_fields(const std::string& body, Read read) -> core::Result<decltype(read(nlohmann::json{}))> {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (json.is_discarded()) {
-    return core::fail(core::ErrorKind::kInvalidArgument, "The body is not JSON.",
+    return core::fail(core::ErrorKind::kInvalidArgument, "The request body is not valid JSON.",
                       "Send a JSON object as docs/API.md describes.");
   }
   try {
--- a/src/control/leader_duties.cpp
+++ b/src/control/leader_duties.cpp
@@ -15,7 +15,7 @@
 
 constexpr core::Duration kProposalTimeout = std::chrono::seconds(2);
 constexpr core::Duration kHandOverInterval = std::chrono::seconds(1);
-/// A command that was refused is not proposed again for this long: each proposal costs every replica a sync.
+/// Time before a rejected command is proposed again: each proposal costs every replica a disk sync.
 constexpr core::Duration kRefusedRest = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -97,7 +97,7 @@
   const core::Instant now = core::BootClock::now();
   leases_.on_configuration(now, configuration);
   if (leading_) {
-    coordinator_.on_configuration(now, configuration);  // Else it takes all of it when leadership is gained.
+    coordinator_.on_configuration(now, configuration);  // Followers load it when they become the leader.
   }
   std::erase_if(reports_, [&](const auto& report) { return !configuration.daemons.contains(report.first); });
   carry_out_effects();
@@ -112,7 +112,7 @@
   if (outdated) {
     protocol::HeartbeatReply refused;
     refused.sequence = heartbeat.sequence;
-    // Without a quorum this leader does not know the newest revision.
+    // Without a quorum, a newer leader may have committed a newer revision.
     refused.current = replica_.node().has_quorum(now) ? configuration.revision : 0;
     refused.known_incarnation = known->second.incarnation;
     return refused;
@@ -218,7 +218,7 @@
 }
 
 void LeaderDuties::remove_lost_daemons(core::Instant now) {
-  // Another leader may have been elected without this one knowing; then its proposal can't be committed.
+  // Safe even if another leader has been elected unnoticed: this proposal can't be committed then.
   for (const failover::RemovableDaemon& lost : leases_.removable(now)) {
     const bool asked = daemon_changes_.add(configuration::RemoveDaemon{lost.daemon, lost.incarnation});
     if (asked) {
--- a/src/control/leader_duties.hpp
+++ b/src/control/leader_duties.hpp
@@ -1,5 +1,5 @@
-// What only the control leader does: leases of daemons, changes of primary, planned stops. Drives the
-// decision logic of failover/ with clock, calls and proposals.
+// Tasks of the control leader: leases of daemons, failover of primaries, planned shutdowns. Connects the
+// decision logic of failover/ to the clock, to calls to databases and to Raft proposals.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,7 +22,7 @@
 
 namespace pipitpond::control {
 
-/// What the leader last heard of a daemon, for the status.
+/// Contents of a daemon's last heartbeat, for the status.
 struct DaemonReport {
   std::uint64_t incarnation = 0;
   protocol::Revision applied = 0;
@@ -31,7 +31,7 @@
   std::vector<protocol::SuspicionReport> suspicions;
 };
 
-/// Duties of a leader; idle on a follower.
+/// Runs the leader's tasks; idle on a follower.
 class LeaderDuties {
  public:
   LeaderDuties(boost::asio::io_context& io, Replica& replica, core::Duration daemon_lease,
@@ -45,17 +45,18 @@
   void on_leadership(bool leading);
   void on_configuration(const protocol::Configuration& configuration);
 
-  /// Answers a heartbeat. Call on the leader only.
+  /// Processes a heartbeat of a daemon. Call on the leader only.
   protocol::HeartbeatReply on_heartbeat(const protocol::Heartbeat& heartbeat);
-  /// Removes a daemon that has drained; returns when that is committed.
+  /// Removes a daemon that has drained and waits until the removal is committed.
   boost::asio::awaitable<core::Result<void>> on_departure(protocol::Departure departure);
 
-  /// Proposes a command of control itself. `subject` names what it is about: while a command for a subject is
-  /// in progress, further ones for it are dropped, for the duties ask again.
+  /// Proposes a command that control itself has decided on. `subject` identifies what it changes: while a
+  /// command for a subject is in progress, further ones are dropped, because the leader's tasks propose them
+  /// again.
   void propose(const std::string& subject, configuration::Operation operation);
 
   [[nodiscard]] const std::map<core::DaemonId, DaemonReport>& reports() const { return reports_; }
-  /// Owners by the applied configuration.
+  /// Owners according to the applied configuration.
   [[nodiscard]] const ownership::OwnerTable& owner_table() const { return coordinator_.owner_table(); }
   [[nodiscard]] protocol::Revision settled_everywhere() const { return leases_.settled_everywhere(); }
 
--- a/src/control/membership_log.hpp
+++ b/src/control/membership_log.hpp
@@ -1,4 +1,4 @@
-// What the log of a control replica says of the members: who joins, votes and is removed, and why.
+// Log lines about the Raft membership: which members join, vote and are removed, and why.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace pipitpond::control {
 
-/// "a,b": names for one field of a line; "-" for none.
+/// Formats identities as the value of one log field: "a,b", or "-" for none.
 std::string describe(const std::vector<core::ControlId>& replicas);
 
-/// A leader has put a change of the members into its log.
+/// Logs a membership change that this leader has appended to its Raft log.
 void log_decision(const raft::MembershipDecision& decision);
-/// A change of the members is committed and known to this replica.
+/// Logs a committed membership.
 void log_members(raft::Index index, const raft::Membership& membership);
-/// This replica stands for election; `node` knows how its last candidacy went.
+/// Logs that this replica is a candidate, with the votes of its last unsuccessful candidacy.
 void log_candidacy(const raft::Node& node);
 
 }  // namespace pipitpond::control
--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -14,7 +14,7 @@
                            const EdgeCounters& edges) {
   const raft::Node& node = replica.node();
   const protocol::Configuration& configuration = replica.machine().configuration();
-  // The numbers live in the parts; a registry of the moment gives them their text.
+  // The components hold the counters; this temporary registry only formats them.
   metrics::Registry registry;
   registry.gauge("pipitpond_control_leader", "1 on the leader.").set(replica.leading() ? 1 : 0);
   registry.gauge("pipitpond_control_term", "Raft term.").set(number(node.term()));
--- a/src/control/metrics.hpp
+++ b/src/control/metrics.hpp
@@ -11,11 +11,11 @@
 
 namespace pipitpond::control {
 
-/// What the edges have moved since the start of the process.
+/// Network and disk traffic since the process started.
 struct EdgeCounters {
-  std::uint64_t wire_bytes_received = 0;  ///< Internal protocol, frames included.
+  std::uint64_t wire_bytes_received = 0;  ///< Internal protocol, including frame headers.
   std::uint64_t wire_bytes_sent = 0;
-  std::uint64_t log_bytes_written = 0;  ///< Log frames and snapshots.
+  std::uint64_t log_bytes_written = 0;  ///< Raft log frames and snapshots.
 };
 
 /// Body of GET /metrics.
--- a/src/control/one_shot.hpp
+++ b/src/control/one_shot.hpp
@@ -1,4 +1,4 @@
-// A value that one coroutine waits for and another piece of code delivers, once. Single-threaded.
+// A single-use, single-threaded channel: one coroutine waits for a value that other code delivers.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,13 +13,13 @@
 
 namespace pipitpond::control {
 
-/// Hold it by shared_ptr on both sides: the waiter may have timed out before the value comes.
+/// Both sides hold it by shared_ptr, because the waiter may time out before the value is delivered.
 template <typename Value>
 class OneShot {
  public:
   explicit OneShot(boost::asio::io_context& io) : timer_(io) {}
 
-  /// Delivers the value; later ones are ignored.
+  /// Delivers the value. Further values are ignored.
   void deliver(Value value) {
     if (value_) {
       return;
@@ -28,7 +28,7 @@
     timer_.cancel();
   }
 
-  /// Waits for the value; empty after the timeout. The caller keeps `self` alive by passing it.
+  /// Waits for the value; returns nothing after the timeout. `self` keeps the object alive during the wait.
   static boost::asio::awaitable<std::optional<Value>> wait(std::shared_ptr<OneShot> self,
                                                            core::Duration timeout) {
     if (!self->value_) {
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-/// True when the request may succeed with another leader or a little later. Changes carry keys and reads are
-/// free of effects, so that a second attempt is safe also when the first one's fate is not known.
+/// Returns true if the request may succeed with another leader or a little later. A retry is safe even if the
+/// outcome of the first attempt is unknown: changes carry idempotency keys and reads have no side effects.
 bool worth_another_attempt(const OperatorReply& reply) {
   const auto kind = error_kind_of(reply);
   return kind && (*kind == core::ErrorKind::kNotLeader || *kind == core::ErrorKind::kLeaving ||
@@ -67,36 +67,38 @@
 
 core::Error no_such_path(const OperatorRequest& request) {
   return core::Error{core::ErrorKind::kNotFound,
-                     "There is no call " + request.method + " " + request.path + ".",
-                     "See docs/API.md for the calls of control.", 0};
+                     "There is no endpoint " + request.method + " " + request.path + ".",
+                     "See docs/API.md for the endpoints of control.", 0};
 }
 
 core::Error no_leader() {
-  return core::Error{core::ErrorKind::kUnavailable, "No leader of control is known here.",
-                     "Ask another control replica; if all say so, see docs/operators/control-quorum-loss.md.",
-                     1000};
+  return core::Error{
+      core::ErrorKind::kUnavailable, "This control replica knows no leader.",
+      "Ask another control replica; if none knows a leader, see docs/operators/control-quorum-loss.md.",
+      1000};
 }
 
-/// Notices of databases: POST /v1/databases/ID/heartbeat and POST /v1/databases/ID/leave.
+/// Path prefix of notices that databases send: POST /v1/databases/ID/heartbeat and .../ID/leave.
 const std::string kDatabasesPath = "/v1/databases/";
 
 bool is_database_notice(const OperatorRequest& request) {
   return request.method == "POST" && request.path.starts_with(kDatabasesPath);
 }
 
-/// The name in "/v1/groups/NAME" for the prefix "/v1/groups/"; empty when the path has another prefix.
+/// Returns what follows `prefix` in `path`, such as NAME in "/v1/groups/NAME" after "/v1/groups/". Empty if
+/// the path has another prefix.
 std::string name_after(const std::string& path, const std::string& prefix) {
   return path.starts_with(prefix) ? path.substr(prefix.size()) : std::string();
 }
 
-/// One element of a map as a reply.
+/// Replies with the element `name` of a map, or with kNotFound.
 template <typename Map, typename Name>
 OperatorReply one(const Map& map, const Name& name, const std::string& what) {
   const auto found = map.find(name);
   if (found == map.end()) {
     return error_reply(
         core::Error{core::ErrorKind::kNotFound, "There is no " + what + " " + name.value() + ".",
-                    "List those that exist with GET.", 0},
+                    "List the existing ones with GET.", 0},
         protocol::Revision{0});
   }
   return ok(to_json(found->second));
@@ -141,7 +143,7 @@
     OperatorReply reply = co_await attempt(request);
     if (!worth_another_attempt(reply) || core::BootClock::now() >= give_up) {
       if (reply.status == kOk && is_database_notice(request)) {
-        co_return database_reply();  // Not the leader's, which names the leader.
+        co_return database_reply();  // Not the leader's reply, whose `next` is the leader.
       }
       co_return reply;
     }
@@ -268,8 +270,7 @@
   co_return error_reply(no_such_path(request));
 }
 
-// --- Routes and databases that register by themselves
-// ---------------------------------------------------------
+// --- Routes and databases that register themselves ---
 
 awaitable<OperatorReply> OperatorApi::put_routes(OperatorRequest request) {
   auto put = parse_put_routes(request.body);
@@ -287,7 +288,7 @@
     co_return error_reply(current.error());
   }
   if (replica_.machine().configuration().routes.version == 0) {
-    co_return error_reply(core::Error{core::ErrorKind::kNotFound, "No route table has been put yet.",
+    co_return error_reply(core::Error{core::ErrorKind::kNotFound, "No route table has been stored yet.",
                                       "Send one with PUT /v1/routes.", 0});
   }
   co_return OperatorReply{200, replica_.machine().route_document()};
@@ -308,7 +309,8 @@
   co_return database_reply();
 }
 
-/// Most notices of databases tell what every replica knows already: no need to ask the leader.
+/// Replies without the leader to a notice that changes nothing, as most do. Returns nothing for any other
+/// request.
 std::optional<OperatorReply> OperatorApi::answer_known_database(const OperatorRequest& request) const {
   if (!is_database_notice(request)) {
     return std::nullopt;
@@ -325,10 +327,10 @@
   return database_reply();
 }
 
-/// Tells where the next notices are best sent: here. Most tell nothing new, which any replica can say, so
-/// that they spread over all replicas by themselves as databases move on from one that failed. Of 100
-/// machines the busiest replica held 653 connections and took up 18 new ones a second; 1,723 and 65 when all
-/// were told to go to the leader.
+/// Directs further notices of the database to this replica. Any replica can answer the many notices that
+/// change nothing, so that databases spread over all replicas as they move away from failed ones. With 100
+/// machines the busiest replica held 653 connections and accepted 18 per second; sending all databases to the
+/// leader gave 1,723 and 65.
 OperatorReply OperatorApi::database_reply() const {
   json body = json::object();
   const raft::Node& node = replica_.node();
@@ -377,7 +379,7 @@
   const raft::Member* member = find_member(replica_.node().membership(), wanted.member.id);
   const json done = {{"revision", replica_.machine().configuration().revision}};
   if (wanted.add == (member != nullptr)) {
-    co_return ok(done);  // Resent: it is as asked already.
+    co_return ok(done);  // A resent request: the membership already is as requested.
   }
   const raft::Member subject = wanted.add ? wanted.member : *member;
   const auto action = wanted.add ? raft::MembershipAction::kAddLearner : raft::MembershipAction::kRemove;
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -1,6 +1,6 @@
-// The operators' interface: see docs/API.md. Any replica takes any call. The leader carries it out; a
-// follower passes it on. Reads go through a read barrier, so that a replica that is cut off serves nothing as
-// current.
+// The operator API, see docs/API.md. Every replica accepts every request; followers forward requests to the
+// leader. Reads are linearizable: they wait for a read barrier, so that a leader without a quorum serves no
+// stale data.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,30 +22,29 @@
 
 namespace pipitpond::control {
 
-/// Passes a request on to the leader.
+/// Forwards a request to the leader.
 using ForwardToLeader = std::function<boost::asio::awaitable<core::Result<protocol::OperatorReply>>(
     core::Endpoint leader, protocol::OperatorRequest, core::Duration timeout)>;
-/// Checks a policy's source.
+/// Validates the source of a policy.
 using CheckPolicy = std::function<core::Result<void>(std::string_view source)>;
 
-/// How long a request may take.
 struct OperatorTimeouts {
   core::Duration proposal = std::chrono::milliseconds(1500);
   core::Duration forward = std::chrono::milliseconds(2000);
-  /// A request that meets a change of leader is tried again for so long. Safe: changes carry a key.
+  /// How long a request is retried during a change of leader. Safe, because changes carry an idempotency key.
   core::Duration leader_change = std::chrono::milliseconds(3000);
   core::Duration retry_interval = std::chrono::milliseconds(50);
 };
 
-/// Carries out operators' requests.
+/// Handles requests of operators and notices of databases.
 class OperatorApi {
  public:
   OperatorApi(boost::asio::io_context& io, Replica& replica, LeaderDuties& duties, ForwardToLeader forward,
               CheckPolicy check_policy, OperatorTimeouts timeouts = {});
 
-  /// A request from an operator: carried out here or by the leader.
+  /// Handles a request here on the leader, or else forwards it. Retries during a change of leader.
   boost::asio::awaitable<protocol::OperatorReply> handle(protocol::OperatorRequest request);
-  /// A request that a follower passed on: never passed on again.
+  /// Handles a request that a follower has forwarded. Never forwards it again.
   boost::asio::awaitable<protocol::OperatorReply> handle_as_leader(protocol::OperatorRequest request);
 
  private:
@@ -75,10 +74,10 @@
   OperatorTimeouts timeouts_;
 };
 
-/// An error as the operator gets it.
+/// Converts an error to a reply with its HTTP status and a JSON body.
 protocol::OperatorReply error_reply(const core::Error& error,
                                     std::optional<protocol::Revision> current_revision = {});
-/// Kind of the error that a reply carries; empty when it carries none.
+/// Returns the kind of the error in a reply, or nothing if the reply is no error.
 std::optional<core::ErrorKind> error_kind_of(const protocol::OperatorReply& reply);
 
 }  // namespace pipitpond::control
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -22,7 +22,7 @@
   database.zone = core::ZoneName(fields.text("zone"));
   database.connection_limit = static_cast<std::uint32_t>(fields.number("connection_limit", kMaxConnections));
   database.slots = static_cast<std::uint32_t>(fields.number("slots", kMaxSlots));
-  fields.boolean_or("draining", false);  // Shown by GET; set by POST /v1/drain.
+  fields.boolean_or("draining", false);  // Accepted because GET shows it; only POST /v1/drain changes it.
   fields.no_others();
   return database;
 }
@@ -58,12 +58,12 @@
 core::RequestKey read_key(JsonFields& fields) {
   const std::string key = fields.text("key");
   if (key.empty()) {
-    throw BadField{"body.key must not be empty: it makes a resent change recognisable."};
+    throw BadField{"body.key must not be empty: it identifies the change when it is sent again."};
   }
   return core::RequestKey(key);
 }
 
-/// Reads {"revision","key","spec"}.
+/// Parses a body {"revision", "key", "spec"}.
 template <typename ReadSpec>
 core::Result<configuration::Command> parse_put(const std::string& body, ReadSpec read_spec) {
   return parse_fields(body, [&read_spec](const json& value) {
--- a/src/control/operator_json.hpp
+++ b/src/control/operator_json.hpp
@@ -1,4 +1,4 @@
-// JSON of the operators' interface: see docs/API.md.
+// JSON of the operator API, see docs/API.md.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,13 +12,13 @@
 
 namespace pipitpond::control {
 
-/// Body of PUT /v1/{groups,zones,policies}/NAME as a command.
+/// Parse the body of PUT /v1/{groups,zones,policies}/NAME. Fail with kInvalidArgument.
 core::Result<configuration::Command> parse_put_group(const core::GroupName& name, const std::string& body);
 core::Result<configuration::Command> parse_put_zone(const core::ZoneName& name, const std::string& body);
 core::Result<configuration::Command> parse_put_policy(const core::PolicyName& name, const std::string& body);
-/// Body of POST /v1/drain as a command.
+/// Parses the body of POST /v1/drain. Fails with kInvalidArgument.
 core::Result<configuration::Command> parse_drain(const std::string& body);
-/// Body of POST /v1/policies/check: the source.
+/// Parses the body of POST /v1/policies/check and returns the policy's source. Fails with kInvalidArgument.
 core::Result<std::string> parse_policy_check(const std::string& body);
 
 /// Body of POST /v1/members.
@@ -37,7 +37,7 @@
 nlohmann::json to_json(const protocol::Configuration& configuration);
 nlohmann::json to_json(const core::Error& error);
 
-/// Values of a map as an array.
+/// Converts the values of a map to a JSON array.
 template <typename Map>
 nlohmann::json list_json(const Map& map) {
   auto list = nlohmann::json::array();
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr settings::Range kMillis{1, 60'000};
-/// Daemons renew their leases twice a second.
 constexpr settings::Range kToleratedLosses{1, 4};
+/// The minimum allows for daemons that renew their leases twice a second.
 constexpr settings::Range kLeaseMillis{1'200, 60'000};
 
 }  // namespace
@@ -36,15 +36,18 @@
 }
 
 ControlSettings::ControlSettings() {
-  section_.text("node.id", options_.name, "Name of this machine, unlike that of any other control machine")
+  section_.text("node.id", options_.name, "Name of this machine; unique among all control machines")
       .required();
   section_.text("cluster.name", options_.cluster, "Name of the fleet; the same on all control machines");
-  section_.boolean("cluster.bootstrap", options_.bootstrap,
-                   "Found the cluster if the data folder is empty; for the first start of a new fleet only");
+  section_.boolean(
+      "cluster.bootstrap", options_.bootstrap,
+      "Bootstrap a new cluster if the data folder is empty; for the first start of a new fleet only");
   section_.integer("cluster.tolerated_losses", options_.tolerated_losses, kToleratedLosses,
-                   "Control disks that may be lost at once; silent replicas are removed only as far as the "
-                   "others can bear that");
-  section_.text("data.folder", options_.data_folder, "Folder for the log and snapshots; its disk must sync")
+                   "Control disks that may be lost at once; silent replicas are removed only while the "
+                   "remaining ones can tolerate that");
+  section_
+      .text("data.folder", options_.data_folder,
+            "Folder for the log and snapshots; its disk must honour fsync")
       .required();
   section_.endpoint("listen.internal", options_.internal, "Address for daemons and control replicas")
       .required();
@@ -55,25 +58,27 @@
   section_.endpoints(
       "cluster.seeds", seeds_,
       "Instead of peers: HTTP addresses of some control machines. Machines are then named by their "
-      "IP numbers, found the cluster if they are seeds, and otherwise join by themselves");
+      "IP addresses; seeds bootstrap the cluster, all others join it automatically");
   section_.endpoint("platform.endpoint", platform_,
-                    "The platform's list of machines; leave out if there is none");
+                    "Address of the platform's list of machines; omit if there is none");
   section_.duration("platform.interval_ms", options_.platform_interval, kMillis,
-                    "How often the list is read");
-  section_.duration("raft.heartbeat_ms", options_.heartbeat_interval, kMillis, "Leader's heartbeats");
+                    "Interval at which the list is read");
+  section_.duration("raft.heartbeat_ms", options_.heartbeat_interval, kMillis,
+                    "Interval of the leader's heartbeats");
   section_.duration("raft.election_min_ms", options_.election_timeout_min, kMillis,
-                    "Shortest time without a leader before an election");
-  section_.duration("raft.election_max_ms", options_.election_timeout_max, kMillis, "Longest such time");
+                    "Minimum time without a leader before an election");
+  section_.duration("raft.election_max_ms", options_.election_timeout_max, kMillis,
+                    "Maximum time without a leader before an election");
   section_.duration("database.fence_timeout_ms", options_.database_calls.fence, kMillis,
-                    "Longest wait for a database to promise a term");
+                    "Timeout of a call that fences a database");
   section_.duration("database.promote_timeout_ms", options_.database_calls.promote, kMillis,
-                    "Longest wait for a database to become primary");
+                    "Timeout of a call that promotes a database to primary");
   section_.duration("lease.duration_ms", options_.daemon_lease, kLeaseMillis,
-                    "How long a daemon's lease runs; the same on all control machines");
+                    "Duration of a daemon's lease; the same on all control machines");
   section_.check([this] { return check(); });
 }
 
-/// All control machines use the same port for each other.
+/// Seeds name only HTTP addresses: all control machines use the same internal port.
 void ControlSettings::take_seeds() {
   options_.open_membership = true;
   options_.peers.clear();
@@ -84,7 +89,7 @@
 
 std::optional<settings::Problem> ControlSettings::check() {
   if (configuration::check_name("machine", options_.name)) {
-    return settings::Problem{"", "node.id", "is no valid name", "Use letters, digits, '.', '_' and '-'."};
+    return settings::Problem{"", "node.id", "is not a valid name", "Use letters, digits, '.', '_' and '-'."};
   }
   options_.peers.clear();
   for (const std::string& text : peer_texts_) {
@@ -108,14 +113,14 @@
                                  [this](const Peer& peer) { return peer.name == options_.name; });
   if (options_.bootstrap && !named) {
     return settings::Problem{"", "peers", "does not name this machine, " + options_.name,
-                             "Add it, for a cluster is founded by the machines that peers lists."};
+                             "Add it: the machines in peers bootstrap the cluster."};
   }
   const bool ordered = options_.heartbeat_interval * 2 <= options_.election_timeout_min &&
                        options_.election_timeout_min < options_.election_timeout_max;
   if (!ordered) {
     return settings::Problem{
-        "", "raft.election_min_ms", "does not suit the other times of raft",
-        "Keep heartbeat_ms below half of election_min_ms, and that below election_max_ms."};
+        "", "raft.election_min_ms", "does not fit the other Raft timeouts",
+        "Keep heartbeat_ms at or below half of election_min_ms, and election_min_ms below election_max_ms."};
   }
   options_.platform = platform_.port == 0 ? std::nullopt : std::optional(platform_);
   return std::nullopt;
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -22,24 +22,25 @@
   core::Endpoint operators;
 };
 
-/// "name=internal/operators", such as "c1=10.0.0.1:7100/10.0.0.1:7101".
+/// Parses "name=internal/operators", such as "c1=10.0.0.1:7100/10.0.0.1:7101". Returns nothing if malformed.
 std::optional<Peer> parse_peer(const std::string& text);
 
-/// What one process is told.
+/// Options of one control process.
 struct ControlOptions {
   std::string name;  ///< node.id: this machine's name.
   std::string cluster = "pipitpond";
   std::string data_folder;
-  core::Endpoint internal;   ///< Listens there for daemons and other control replicas.
-  core::Endpoint operators;  ///< Listens there for operators.
-  /// All control machines, or some of them that are there at the first start, with the addresses at which
-  /// others reach them.
+  core::Endpoint internal;   ///< Address to listen on for daemons and other control replicas.
+  core::Endpoint operators;  ///< Address to listen on for operators.
+  /// All control machines, or with `open_membership` some that exist at the first start, with the addresses
+  /// at which others reach them.
   std::vector<Peer> peers;
-  /// Machines that `peers` does not name join by themselves; silent ones are removed.
+  /// Machines that are not in `peers` join without an operator, and silent members are removed.
   bool open_membership = false;
-  /// Disks that may be lost at once.
+  /// Number of control disks that may be lost at the same time.
   std::uint32_t tolerated_losses = 1;
-  /// Founds the cluster when the disk is empty and no peer knows of one. Otherwise an empty disk joins.
+  /// Bootstrap a new cluster if the data folder is empty and no peer reports an existing one. Otherwise a
+  /// replica with an empty data folder joins.
   bool bootstrap = false;
   std::optional<core::Endpoint> platform;
   core::Duration platform_interval = std::chrono::seconds(1);
@@ -49,18 +50,18 @@
   DatabaseCallTimeouts database_calls;
   core::Duration daemon_lease = protocol::kDaemonLease;
 
-  /// This machine as others reach it: its entry in `peers`, or else where it listens.
+  /// This machine's entry in `peers`, or else the addresses it listens on.
   [[nodiscard]] Peer self() const;
 };
 
-/// Declares the settings. Call `assign_parsed` once they are assigned.
+/// Declares the settings and checks them after they are assigned.
 class ControlSettings {
  public:
   ControlSettings();
 
   /// For settings::load and runtime::run_daemon.
   settings::Section& section() { return section_; }
-  /// The options, once the settings are assigned.
+  /// The options; valid after the settings are assigned.
   [[nodiscard]] const ControlOptions& options() const { return options_; }
 
  private:
--- a/src/control/peer_channels.cpp
+++ b/src/control/peer_channels.cpp
@@ -62,7 +62,7 @@
 
 awaitable<core::Result<protocol::Revision>> PeerChannels::revision_of(core::Endpoint peer,
                                                                       core::Duration timeout) {
-  // Asks for nothing: the answer names the peer's revision all the same, and is short.
+  // No change follows the maximum revision, so the reply is short; it still contains the peer's revision.
   protocol::FetchRequest request;
   request.after = std::numeric_limits<protocol::Revision>::max();
   const auto body = co_await channel(peer).call(MessageType::kFetch, wire::pack(request), timeout);
--- a/src/control/peer_channels.hpp
+++ b/src/control/peer_channels.hpp
@@ -16,25 +16,25 @@
 
 namespace pipitpond::control {
 
-/// One channel for each endpoint, made at its first use.
+/// One channel per endpoint, created at its first use.
 class PeerChannels {
  public:
   /// `receive` gets the Raft messages that peers send back over these channels.
   PeerChannels(boost::asio::io_context& io, std::function<void(raft::Message)> receive);
 
-  /// Sees to it that there is a connection by the time that one is needed.
+  /// Connects in advance, because messages are dropped while there is no connection.
   void keep_connected(const core::Endpoint& peer);
-  /// Sends a Raft message; it may be lost.
+  /// Sends a Raft message without confirmation; it may be lost.
   void send(const core::Endpoint& peer, const raft::Message& message);
-  /// Passes an operator's request on.
+  /// Forwards an operator's request and waits for the reply.
   boost::asio::awaitable<core::Result<protocol::OperatorReply>> forward(core::Endpoint peer,
                                                                         protocol::OperatorRequest request,
                                                                         core::Duration timeout);
-  /// The revision that a peer has; fails when it can't be asked.
+  /// Returns the revision that a peer has applied. Fails if the peer does not reply in time.
   boost::asio::awaitable<core::Result<protocol::Revision>> revision_of(core::Endpoint peer,
                                                                        core::Duration timeout);
 
-  /// Bytes over all channels since start, frames included.
+  /// Bytes over all channels since the process started, including frame headers.
   [[nodiscard]] std::uint64_t bytes_received() const;
   [[nodiscard]] std::uint64_t bytes_sent() const;
 
--- a/src/control/platform_watch.cpp
+++ b/src/control/platform_watch.cpp
@@ -37,8 +37,8 @@
 core::Result<std::vector<Machine>> parse_machines(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("machines") || !json.at("machines").is_array()) {
-    return core::fail(core::ErrorKind::kInvalidArgument, "The platform's list is malformed.",
-                      "Check that platform.endpoint is the platform's.");
+    return core::fail(core::ErrorKind::kInvalidArgument, "The platform's list of machines is malformed.",
+                      "Check that platform.endpoint is the address of the platform.");
   }
   std::vector<Machine> machines;
   for (const auto& entry : json.at("machines")) {
--- a/src/control/platform_watch.hpp
+++ b/src/control/platform_watch.hpp
@@ -1,5 +1,6 @@
-// Reads the platform's list of live and leaving machines while this replica leads, and records planned stops.
-// The list lags, so only what changes in it counts: an operator's undrain is not undone by an old entry.
+// Polls the platform's list of live and leaving machines while this replica leads, and drains leaving
+// machines. The list lags behind, so only its changes are applied: an old entry must not revert an operator's
+// undrain.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,22 +21,22 @@
 
 namespace pipitpond::control {
 
-/// One machine of the platform's list.
+/// An entry of the platform's list.
 struct Machine {
   std::string name;
   std::string kind;  ///< "database", "proxy" or "control"; others are ignored.
   bool leaving = false;
 };
 
-/// Reads the body of GET /v1/machines; machines that make no sense are left out.
+/// Parses the body of GET /v1/machines and skips malformed entries. Fails with kInvalidArgument.
 core::Result<std::vector<Machine>> parse_machines(const std::string& body);
 
-/// What a machine's change in the list means, given the configuration: empty when it says nothing new.
-/// `before`: whether the list called it leaving last time; empty when it is listed for the first time.
+/// Returns the operation for a machine whose entry has changed, or nothing if the configuration needs no
+/// change. `before` tells whether the last list had the machine as leaving; empty if it was not listed.
 std::optional<configuration::Operation> operation_for(const protocol::Configuration& configuration,
                                                       const Machine& machine, std::optional<bool> before);
 
-/// Polls the platform.
+/// Polls the platform's list at a fixed interval.
 class PlatformWatch {
  public:
   PlatformWatch(boost::asio::io_context& io, core::Endpoint platform, core::Duration interval,
@@ -43,7 +44,7 @@
 
   void start();
   void stop();
-  /// Polls that failed since start, for metrics.
+  /// Failed polls since the process started.
   [[nodiscard]] std::uint64_t failures() const { return failures_; }
 
  private:
@@ -59,7 +60,7 @@
   LeaderDuties& duties_;
   bool running_ = false;
   std::unique_ptr<http::Client> client_;
-  std::map<std::string, bool> leaving_before_;  ///< By kind and name.
+  std::map<std::string, bool> leaving_before_;  ///< State in the last list, by kind and name.
   std::uint64_t failures_ = 0;
 };
 
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -13,11 +13,11 @@
 namespace pipitpond::control {
 namespace {
 
-/// Applied entries that the log may hold before it is replaced by a snapshot.
+/// Number of applied entries after which the log is compacted into a snapshot.
 constexpr raft::Index kCompactAfterEntries = 4096;
 
-/// Between attempts to write to a full disk: a few in each election timeout, so that a replica whose disk has
-/// room again takes part at once; an attempt that fails costs one call of the system.
+/// Interval between attempts to write to a full disk: several per election timeout, so that the replica takes
+/// part again as soon as there is space. A failed attempt costs one system call.
 constexpr core::Duration kFullDiskRetry = std::chrono::milliseconds(100);
 
 core::Error no_room() {
@@ -27,7 +27,7 @@
 
 core::Error not_leader() {
   return core::Error{core::ErrorKind::kNotLeader, "This control replica does not lead.",
-                     "Ask the leader, or ask again in a moment.", 200};
+                     "Ask the leader, or retry in a moment.", 200};
 }
 
 core::Error unknown_fate() {
@@ -69,7 +69,7 @@
 
 void Replica::receive(raft::Message message) {
   if (without_room()) {
-    return;  // An answer would promise what can't be made durable. Messages may be lost.
+    return;  // A reply would acknowledge state that can't be persisted. Raft tolerates lost messages.
   }
   node_.step(core::BootClock::now(), std::move(message));
   schedule_work();
@@ -114,7 +114,7 @@
   auto result = co_await ReadDone::wait(done, timeout);
   reads_.erase(token);
   if (!result) {
-    co_return core::fail(core::ErrorKind::kTimeout, "No majority of the control replicas answered.",
+    co_return core::fail(core::ErrorKind::kTimeout, "No majority of the control replicas answered in time.",
                          "Ask another control replica, or see docs/operators/control-quorum-loss.md.", 500);
   }
   co_return std::move(*result);
@@ -195,10 +195,10 @@
   return false;
 }
 
-// A replica that ended instead would be started again, and end again, as long as its disk is full: 5 ends in
-// a day with a disk that was full for 3.8 s, measured on a fleet of 29 machines. Waiting is safe for the same
-// reason as a disk that stalls: nothing that depends on the Ready is sent, and no answer is taken, so that
-// its majority and its leases run out.
+// Waits instead of terminating: a terminated replica would be restarted and fail again as long as the disk is
+// full (5 times for a disk that was full for 3.8 s, on a fleet of 29 machines). Waiting is as safe as a
+// stalled disk: no message that depends on the Ready is sent and none is received, so that the replica loses
+// its quorum and the leases that it granted expire.
 void Replica::wait_for_room(raft::Ready ready, const core::Error& error) {
   if (!without_room()) {
     logging::logger("control")->error("event=disk_full leading={} {}", leading_, core::describe(error));
@@ -229,7 +229,7 @@
   for (const raft::MembershipDecision& decision : ready.decisions) {
     log_decision(decision);
   }
-  // Before anything of a later leader is applied, so that nothing more is decided in this one's name.
+  // Before entries of a later leader are applied, so that this replica takes no decision as a deposed leader.
   note_leadership_loss();
   if (ready.restore && ready.snapshot) {
     restore(*ready.snapshot);
@@ -295,7 +295,7 @@
   if (proposal.term == entry.term) {
     proposal.done->deliver(result);
   } else {
-    // Another entry is committed in its place, so this command can't be any more.
+    // Another entry was committed at this index, so that this command can no longer be.
     proposal.done->deliver(core::outcome::failure(not_leader()));
   }
 }
@@ -353,7 +353,7 @@
 void Replica::compact_if_long() {
   const raft::Index applied = node_.applied_index();
   const bool many = applied >= node_.log().first_index() + kCompactAfterEntries;
-  // A state that is itself long is not written anew for less than its own length of changes.
+  // A large state is not written again until the changes since the last snapshot have reached its size.
   const bool long_log = applied_bytes_ >= std::max(kCompactAfterBytes, snapshot_bytes_);
   if (!many && !long_log) {
     return;
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -1,7 +1,7 @@
-// Drives one raft::Node and the configuration's state machine: disk, timers, messages. Single-threaded.
+// Connects a raft::Node and the configuration's state machine to disk, timers and network. Single-threaded.
 //
-// Everything that arrives within one turn of the io_context is handed to the node before its work is taken,
-// so that many commands and answers share one sync.
+// All input that arrives within one iteration of the io_context is passed to the node before its Ready is
+// taken, so that many commands and replies share one disk sync.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,20 +22,20 @@
 
 namespace pipitpond::control {
 
-/// Makes what a Ready asks for durable. Fails with kNoCapacity when the disk is full: the same Ready is given
-/// again later. After any other error the replica must not go on.
+/// Makes the state in a Ready durable. Fails with kNoCapacity if the disk is full; the same Ready is then
+/// passed again later. Any other error is unrecoverable.
 using PersistReady = std::function<core::Result<void>(const raft::Ready&)>;
-/// Sends a message to another replica; may lose it.
+/// Sends a message to another replica. The message may be lost.
 using SendMessage = std::function<void(raft::Message)>;
 
-/// What the replica tells the rest of the daemon.
+/// Callbacks to the rest of the control process.
 struct ReplicaEvents {
-  /// After commands were applied that changed the configuration, or a snapshot was loaded.
+  /// Called at the start, and after commands or a snapshot have changed the configuration.
   std::function<void(const protocol::Configuration&)> configuration_changed;
-  /// True: this replica leads and has applied all that earlier leaders committed. False: it no longer leads;
-  /// told before anything that a later leader committed is applied.
+  /// True: this replica leads and has applied all entries that earlier leaders committed. False: it no longer
+  /// leads; called before any entry that a later leader committed is applied.
   std::function<void(bool leading)> leadership_changed;
-  /// The disk failed: end the process.
+  /// An unrecoverable disk error: terminate the process.
   std::function<void(const core::Error&)> failed;
 };
 
@@ -47,33 +47,34 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  /// Begins the timers.
+  /// Starts processing.
   void start();
-  /// Ends them; waiting calls are answered with kUnavailable.
+  /// Stops processing. Proposals in progress fail with kTimeout and reads with kNotLeader.
   void stop();
 
-  /// A message from another replica.
+  /// Processes a message from another replica.
   void receive(raft::Message message);
 
-  /// Proposes a command and waits until it is applied. Fails with kNotLeader, kLeaving or kOverloaded (it
-  /// will not be applied) or with kTimeout (it may be: resend it with its key).
+  /// Proposes a command and waits until it is applied. Fails with kNotLeader, kLeaving, kOverloaded or
+  /// kUnavailable if it will not be applied, and with kTimeout if it may be: resend it with the same key.
   boost::asio::awaitable<core::Result<configuration::CommandResult>> propose(configuration::Command command,
                                                                              core::Duration timeout);
-  /// Waits until what is applied here is at least what was committed anywhere when this was called. Fails
-  /// with kNotLeader or kTimeout; then nothing may be served as current.
+  /// Waits until this replica has applied every entry that was committed before the call (a linearizable
+  /// read). After an error, such as kNotLeader or kTimeout, the state must not be served as current.
   boost::asio::awaitable<core::Result<void>> read_barrier(core::Duration timeout);
-  /// Changes the membership by one; returns once it was accepted by the leader's log.
+  /// Adds or removes one member. Returns when the change is in the leader's log, before it is committed.
   core::Result<void> change_membership(const raft::MembershipChange& change);
-  /// Begins to hand over leadership.
+  /// Starts a transfer of leadership.
   core::Result<void> transfer_leadership();
 
-  /// Leads, and has applied all that earlier leaders committed.
+  /// True if this replica leads and has applied all entries that earlier leaders committed.
   [[nodiscard]] bool leading() const { return leading_; }
   [[nodiscard]] const raft::Node& node() const { return node_; }
   [[nodiscard]] const configuration::StateMachine& machine() const { return machine_; }
-  /// The disk is full: this replica neither votes, leads nor takes anything up until there is room.
+  /// True while the disk is full. The replica then neither votes nor leads nor accepts messages and
+  /// proposals.
   [[nodiscard]] bool without_room() const { return waiting_for_room_.has_value(); }
-  /// Syncs since start, for metrics.
+  /// Disk syncs since the process started.
   [[nodiscard]] std::uint64_t syncs() const { return syncs_; }
 
  private:
@@ -87,11 +88,12 @@
 
   void schedule_work();
   void work();
-  /// False when the replica can't go on now.
+  /// Persists, sends and applies a Ready. Returns false if processing must stop for now.
   bool carry_out(raft::Ready ready);
   bool persist(const raft::Ready& ready);
   void wait_for_room(raft::Ready ready, const core::Error& error);
-  /// True when what waited for room is durable and carried out, or nothing waits.
+  /// Retries the Ready that did not fit on the disk. Returns true if it is processed now or if there was
+  /// none.
   bool carry_out_what_waited();
   void apply(const raft::Entry& entry);
   void restore(const raft::Snapshot& snapshot);
@@ -113,28 +115,30 @@
   PersistReady persist_;
   SendMessage send_;
   ReplicaEvents events_;
-  /// Callbacks in flight hold a weak reference, so that none runs after the replica is gone.
+  /// Pending asynchronous callbacks hold a weak reference, so that none runs after the replica is destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   bool running_ = false;
   bool leading_ = false;
   bool work_scheduled_ = false;
-  std::optional<core::Error> broken_;  ///< The state could not be loaded.
-  /// Could not be made durable because the disk is full. Nothing that it promises is sent before.
+  std::optional<core::Error> broken_;  ///< Why a snapshot could not be loaded.
+  /// A Ready that did not fit on the full disk. Its messages are sent only after it is durable.
   std::optional<raft::Ready> waiting_for_room_;
   raft::Index applied_ = 0;
-  std::size_t applied_bytes_ = 0;   ///< Of commands since the last snapshot: what a restart applies again.
-  std::size_t snapshot_bytes_ = 0;  ///< Of the last snapshot.
+  std::size_t applied_bytes_ =
+      0;  ///< Size of the commands applied since the last snapshot, which a restart replays.
+  std::size_t snapshot_bytes_ = 0;  ///< Size of the last snapshot.
   protocol::Revision told_revision_ = 0;
   std::uint64_t told_candidacies_ = 0;
   std::uint64_t syncs_ = 0;
   raft::ReadToken next_read_ = 1;
   std::map<raft::Index, Proposal> proposals_;
   std::map<raft::ReadToken, std::shared_ptr<ReadDone>> reads_;
-  std::multimap<raft::Index, raft::ReadToken> confirmed_reads_;  ///< Wait for their index to be applied.
+  std::multimap<raft::Index, raft::ReadToken>
+      confirmed_reads_;  ///< Reads to finish when their index is applied.
 };
 
-/// Bytes of applied commands after which a snapshot takes the log's place. With 0.15 of a core 92
-/// commands of 300 KB took 1.8 s to read and apply (logs of one run); by that, 2 MB take about 0.15 s.
+/// Size of applied commands after which the log is compacted into a snapshot; bounds the replay at a restart.
+/// With 0.15 of a core 92 commands of 300 KB take 1.8 s to read and apply, so 2 MB take about 0.15 s.
 inline constexpr std::size_t kCompactAfterBytes = 2UL * 1024 * 1024;
 
 }  // namespace pipitpond::control
--- a/src/control/revision_notices.hpp
+++ b/src/control/revision_notices.hpp
@@ -1,4 +1,4 @@
-// Tells daemons of new revisions, at once but not more often than they can be worth it.
+// Rate-limits the notices that tell daemons of a new revision of the configuration.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,18 +10,19 @@
 
 namespace pipitpond::control {
 
-/// Least time between two notices. Each one makes every daemon fetch, store and apply; when hundreds of
-/// revisions come within a second, as when a zone is lost, daemons take them some at a time.
+/// Minimum time between two notices. Each one makes every daemon fetch, store and apply the configuration.
+/// When hundreds of revisions arise within a second, as after the loss of a zone, daemons fetch several at
+/// once.
 inline constexpr core::Duration kNoticeInterval = std::chrono::milliseconds(100);
 
-/// Paces notices: the first of a quiet time is sent at once, later ones together.
+/// Sends the first notice at once, and merges all that follow within the interval into one.
 class RevisionNotices {
  public:
   using Send = std::function<void(protocol::Revision)>;
 
   RevisionNotices(boost::asio::io_context& io, Send send, core::Duration interval = kNoticeInterval);
 
-  /// A revision is in the configuration. It, or a later one, is sent within the interval.
+  /// Schedules a notice of a new revision. This revision or a later one is sent within the interval.
   void announce(protocol::Revision revision);
 
  private:
--- a/src/control/route_json.cpp
+++ b/src/control/route_json.cpp
@@ -80,13 +80,13 @@
   return items;
 }
 
-/// Errors name the key's place, never the key.
+/// Errors give the index of a key, never the key itself: it is a secret.
 std::vector<protocol::KeyDigest> read_keys(const json& list, const std::string& where) {
   std::vector<protocol::KeyDigest> digests;
   for (const json& key : list) {
     const std::string* text = key.get_ptr<const std::string*>();
     if (text == nullptr || text->empty() || text->size() > kMaxTenantKeyBytes) {
-      throw BadField{where + ".keys[" + std::to_string(digests.size()) + "] must be a text of 1 to " +
+      throw BadField{where + ".keys[" + std::to_string(digests.size()) + "] must be a string of 1 to " +
                      std::to_string(kMaxTenantKeyBytes) + " bytes."};
     }
     digests.push_back(tenancy::digest_of(*text));
@@ -109,7 +109,7 @@
   return tenant;
 }
 
-/// In order of names: the order in which they were written means nothing.
+/// Sorted by name, so that the order in the body does not matter.
 protocol::Tenants read_tenants(const json& list) {
   auto tenants = read_list<protocol::Tenant>(list, "tenants", read_tenant);
   std::sort(tenants.begin(), tenants.end(),
@@ -160,7 +160,7 @@
     return command;
   }
   if (notice != "heartbeat") {
-    return core::fail(core::ErrorKind::kNotFound, "There is no such notice of a database.",
+    return core::fail(core::ErrorKind::kNotFound, "There is no database notice of this kind.",
                       "Send POST /v1/databases/ID/heartbeat or POST /v1/databases/ID/leave.");
   }
   return parse_fields(body, [&](const json& value) {
--- a/src/control/status_json.cpp
+++ b/src/control/status_json.cpp
@@ -50,7 +50,7 @@
   json out = to_json(daemon);
   const auto found = duties.reports().find(daemon.id);
   if (found == duties.reports().end()) {
-    out["revision"] = nullptr;  // Not heard by this leader.
+    out["revision"] = nullptr;  // No heartbeat since this replica became the leader.
     return out;
   }
   const DaemonReport& report = found->second;
--- a/src/control/status_json.hpp
+++ b/src/control/status_json.hpp
@@ -1,4 +1,4 @@
-// The fleet's status as the leader sees it.
+// Status of the whole fleet as the leader knows it.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/tests/control/announcer_test.cpp
+++ b/tests/control/announcer_test.cpp
@@ -23,7 +23,7 @@
                   }).value());
   }
 
-  /// Runs all rounds.
+  /// Runs the announcer to its end.
   void run(Announcer& announcer) {
     bool done = false;
     const auto rounds = [&]() -> boost::asio::awaitable<void> {
--- a/tests/control/daemon_changes_test.cpp
+++ b/tests/control/daemon_changes_test.cpp
@@ -24,7 +24,7 @@
   return AdmitDaemon{id(number), 1, core::ZoneName("z"), {"127.0.0.1", 1}, {"127.0.0.1", 2}};
 }
 
-/// Proposals end when the test says so.
+/// Holds each proposal back until the test raises `decided_`.
 class DaemonChangesTest : public testing::Test {
  protected:
   DaemonChanges make(core::Duration interval) {
@@ -54,7 +54,7 @@
 
   boost::asio::io_context io_;
   std::vector<ChangeDaemons> proposals_;
-  std::size_t decided_ = 0;  ///< Proposals that may end.
+  std::size_t decided_ = 0;  ///< Number of proposals that may complete.
   bool refuse_ = false;
 };
 
--- a/tests/control/fetch_replies_test.cpp
+++ b/tests/control/fetch_replies_test.cpp
@@ -20,7 +20,7 @@
     ASSERT_FALSE(machine_.apply(++index_, command).error);
   }
 
-  /// Two policies, as two revisions, whose texts hardly compress.
+  /// Adds two policies, each as a revision of its own, whose random texts hardly compress.
   void put_long_policies() {
     std::mt19937_64 random(1);
     for (const char* name : {"first", "second"}) {
@@ -64,7 +64,7 @@
   }
 }
 
-/// All pages of the answer that begins with `page`, as a daemon asks for them.
+/// Fetches the remaining pages of a reply as a daemon does, and returns the whole reply.
 std::string collect(FetchReplies& replies, protocol::FetchPage page) {
   std::string bytes = page.bytes;
   while (bytes.size() < page.total) {
@@ -96,7 +96,7 @@
   EXPECT_EQ(page.offset, 0U);
   EXPECT_EQ(page.revision, 2U);
   const protocol::FetchPage beyond = replies_.page({core::DaemonId("d"), 0, 2, 1UL << 40U});
-  EXPECT_EQ(beyond.offset, 0U) << "an offset over the end";
+  EXPECT_EQ(beyond.offset, 0U) << "an offset beyond the end of the reply";
 }
 
 TEST_F(FetchRepliesTest, AReplicaThatIsAskedForNothingNamesItsRevision) {
--- a/tests/control/memory_cluster.cpp
+++ b/tests/control/memory_cluster.cpp
@@ -92,7 +92,7 @@
 
 std::string MemoryCluster::wait_for_leader() {
   if (!run_until(io_, [this] { return leader().has_value(); })) {
-    throw std::runtime_error("No leader was elected.");
+    throw std::runtime_error("No leader was elected before the time limit of the test.");
   }
   return *leader();
 }
--- a/tests/control/memory_cluster.hpp
+++ b/tests/control/memory_cluster.hpp
@@ -1,4 +1,4 @@
-// Three control replicas in one process, with disks in memory and links that can be cut.
+// Three control replicas in one process, with in-memory disks and simulated network partitions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,14 +15,14 @@
 
 namespace pipitpond::control {
 
-/// Durable state in memory: survives its replica.
+/// Durable state in memory. It outlives its replica, as a disk does.
 class MemoryDisk {
  public:
   explicit MemoryDisk(raft::PersistedState state) : state_(std::move(state)) {}
 
   core::Result<void> persist(const raft::Ready& ready);
   [[nodiscard]] const raft::PersistedState& state() const { return state_; }
-  /// Until it is emptied, it takes nothing.
+  /// While it is full, writes that need a sync fail with kNoCapacity.
   void set_full(bool full) { full_ = full; }
 
  private:
@@ -30,12 +30,12 @@
   raft::PersistedState state_;
 };
 
-/// Where operators would reach a replica.
+/// Endpoint of a replica's operator API. Nothing listens there.
 inline core::Endpoint operators_of(const std::string& name) {
   return {name, 8780};
 }
 
-/// The replicas "c1" to "c3".
+/// A cluster of the replicas "c1" to "c3".
 class MemoryCluster {
  public:
   explicit MemoryCluster(boost::asio::io_context& io);
@@ -43,17 +43,17 @@
   MemoryCluster(const MemoryCluster&) = delete;
   MemoryCluster& operator=(const MemoryCluster&) = delete;
 
-  /// Starts a replica from its disk.
+  /// Starts a replica with the state on its disk.
   void start(const std::string& name);
-  /// Ends a replica; its disk stays.
+  /// Stops a replica and keeps its disk.
   void stop(const std::string& name);
-  /// Cuts a replica from all others, in silence, until `heal`.
+  /// Drops all messages between a replica and the others until `heal`.
   void cut(const std::string& name) { cut_.insert(name); }
   void heal(const std::string& name) { cut_.erase(name); }
 
   MemoryDisk& disk(const std::string& name) { return disks_.at(name); }
   Replica& replica(const std::string& name) { return *replicas_.at(name); }
-  /// Waits for a leader among the replicas that are not cut.
+  /// Waits until one of the replicas that are not partitioned leads, and returns its name.
   std::string wait_for_leader();
   [[nodiscard]] std::vector<std::string> names() const { return {"c1", "c2", "c3"}; }
 
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -10,7 +10,7 @@
 namespace pipitpond::control {
 namespace {
 
-/// Three replicas with their interfaces; followers pass requests on by a call.
+/// Three replicas with an OperatorApi each. Followers forward requests to the leader by a function call.
 class OperatorApiTest : public ::testing::Test {
  protected:
   OperatorApiTest() {
@@ -63,15 +63,15 @@
   EXPECT_EQ(registered.status, 200U);
   EXPECT_EQ(forwarded_, 1);
   EXPECT_EQ(next_of(registered), core::to_string(operators_of(follower)))
-      << "not the leader that carried it out";
+      << "the reply must not direct the database to the leader";
   ASSERT_TRUE(
       run_until(io_, [&] { return !cluster_.replica(follower).machine().configuration().groups.empty(); }));
   for (int times = 0; times < 5; ++times) {
     EXPECT_EQ(next_of(heartbeat(follower)), core::to_string(operators_of(follower)));
   }
-  EXPECT_EQ(forwarded_, 1) << "what tells nothing new goes no further";
+  EXPECT_EQ(forwarded_, 1) << "a notice that changes nothing must not be forwarded";
   EXPECT_EQ(heartbeat(follower, true).status, 200U);
-  EXPECT_EQ(forwarded_, 2) << "a change does";
+  EXPECT_EQ(forwarded_, 2) << "a notice that changes something must be forwarded";
 }
 
 }  // namespace
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -72,7 +72,7 @@
 
   const std::string leader = cluster.wait_for_leader();
   ASSERT_NE(leader, full);
-  // The same key: it applies once, whether or not the full disk's attempt is found.
+  // With the same key it applies once, whether or not the first attempt has reached another replica.
   ASSERT_TRUE(propose(leader, put_zone("gasabo", "k2", 1, "north")));
   ASSERT_TRUE(propose(leader, put_zone("kicukiro", "k4", 0)));
   EXPECT_EQ(cluster.replica(full).machine().configuration().revision, 1U);
@@ -82,9 +82,9 @@
   EXPECT_FALSE(cluster.replica(full).without_room());
 }
 
-// A day changed a table of 1,340 routes 92 times; after a loss of all power the control replicas took 1.8 s
-// to read and apply the 28 MB of their logs, and no daemon had a configuration until then. Ten times the
-// changes would have taken longer than users wait, and filled a disk of 128 MB.
+// Guards against a log that grows with the number of changes. 92 changes of a table of 1,340 routes made a
+// log of 28 MB, which took 1.8 s to read and apply after a power failure; no daemon had a configuration until
+// then. Ten times as many would have taken longer to apply than users wait, and filled a disk of 128 MB.
 TEST_F(ReplicaTest, WhatARestartReadsAndAppliesFollowsTheStateAndNotTheDaysChanges) {
   constexpr std::uint64_t kTables = 40;
   constexpr std::size_t kDocumentBytes = 300'000;
@@ -119,7 +119,8 @@
   ASSERT_TRUE(propose(leader, put_zone("gasabo", "k1")));
   ASSERT_TRUE(run_until(io, [&] { return cluster.replica(full).without_room(); }));
   cluster.cut(third);
-  EXPECT_FALSE(propose(leader, put_zone("kicukiro", "k2"))) << "only a full disk is left to make a majority";
+  EXPECT_FALSE(propose(leader, put_zone("kicukiro", "k2")))
+      << "only a replica with a full disk is left to complete a majority";
   cluster.heal(third);
   cluster.disk(full).set_full(false);
   const std::string next = cluster.wait_for_leader();
--- a/tests/control/run_coroutine.hpp
+++ b/tests/control/run_coroutine.hpp
@@ -1,4 +1,4 @@
-// Runs coroutines of a test on its io_context.
+// Runs coroutines of a test on the test's io_context.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,10 +13,10 @@
 
 namespace pipitpond::control {
 
-/// Longest time that a test waits for anything.
+/// Timeout of run and run_until.
 inline constexpr std::chrono::seconds kTestLimit{30};
 
-/// Turns the io_context until `done` holds; false after kTestLimit.
+/// Runs the io_context until `done` returns true. Returns false after kTestLimit.
 inline bool run_until(boost::asio::io_context& io, const std::function<bool()>& done) {
   const auto give_up = std::chrono::steady_clock::now() + kTestLimit;
   while (!done()) {
@@ -29,19 +29,19 @@
   return true;
 }
 
-/// Stores what a coroutine gives.
+/// Stores the result of a coroutine in `value`.
 template <typename Value>
 boost::asio::awaitable<void> store(boost::asio::awaitable<Value> coroutine, std::optional<Value>& value) {
   value.emplace(co_await std::move(coroutine));
 }
 
-/// Runs a coroutine to its end and gives its value. Throws when it takes longer than kTestLimit.
+/// Runs a coroutine and returns its result. Throws after kTestLimit.
 template <typename Value>
 Value run(boost::asio::io_context& io, boost::asio::awaitable<Value> coroutine) {
   std::optional<Value> value;
   boost::asio::co_spawn(io, store(std::move(coroutine), value), boost::asio::detached);
   if (!run_until(io, [&value] { return value.has_value(); })) {
-    throw std::runtime_error("The coroutine did not end in time.");
+    throw std::runtime_error("The coroutine did not finish before the time limit of the test.");
   }
   return std::move(*value);
 }
--- a/tests/control_processes/control_cluster.cpp
+++ b/tests/control_processes/control_cluster.cpp
@@ -63,7 +63,7 @@
     return fleet.find(name(machine))->pid == 0;
   };
   if (!wait_for(ended)) {
-    throw std::runtime_error(name(machine) + " did not end.");
+    throw std::runtime_error(name(machine) + " did not exit by itself in time.");
   }
   const int exit_code = must(fleet_->stop(name(machine)));
   return {exit_code, read_file(log).substr(written_before)};
@@ -115,7 +115,7 @@
   const std::string line = "\npipitpond_control_" + name + " ";
   const auto found = reply ? reply->text.find(line) : std::string::npos;
   if (found == std::string::npos) {
-    throw std::runtime_error(this->name(machine) + " tells no metric " + name + ".");
+    throw std::runtime_error(this->name(machine) + " serves no metric " + name + ".");
   }
   return std::stoull(reply->text.substr(found + line.size()));
 }
@@ -143,7 +143,7 @@
     return false;
   };
   if (!wait_for(found)) {
-    throw std::runtime_error("No leader of control in time.");
+    throw std::runtime_error("No control leader was elected in time.");
   }
   return *leader;
 }
--- a/tests/control_processes/control_cluster.hpp
+++ b/tests/control_processes/control_cluster.hpp
@@ -1,4 +1,4 @@
-// Three control processes, each of which reaches the others over fault-proxy links of its own.
+// Three control processes that reach each other through links of a fault proxy.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +16,16 @@
 
 namespace pipitpond::testing {
 
-/// What became of a process that ended by itself.
+/// Result of a process that has ended by itself.
 struct EndedProcess {
   int exit_code = 0;
   std::string output;  ///< Standard output and error.
 };
 
-/// How the machines reach one another.
+/// Topology of the links between the machines.
 enum class Links : std::uint8_t {
-  kOneEach,  ///< Each machine is reached over one link by all others.
-  kMesh,     ///< A link for each pair and direction, so that one machine can be cut off from all others.
+  kOneEach,  ///< One link per machine, which all others use to reach it.
+  kMesh,     ///< One link per pair and direction, so that a machine can be partitioned from all others.
 };
 
 /// A control cluster without databases. Machines are numbered from 0.
@@ -37,43 +37,45 @@
   explicit ControlCluster(Links links = Links::kOneEach, const fleet::RaftTimes& times = {});
 
   [[nodiscard]] static std::string name(std::size_t machine);
-  /// The machine after this one, and the one after that.
+  /// The two other machines, in ascending order modulo kMachines.
   [[nodiscard]] static std::vector<std::size_t> others_than(std::size_t machine);
   [[nodiscard]] core::Endpoint operators(std::size_t machine) const;
   [[nodiscard]] std::vector<core::Endpoint> all_operators() const;
   [[nodiscard]] std::filesystem::path folder() const { return folder_.path(); }
   [[nodiscard]] std::filesystem::path data_folder(std::size_t machine) const;
 
-  /// Starts a machine on the folder that it has, without founding a cluster.
+  /// Starts a machine on its existing data folder, without bootstrapping a cluster.
   void start(std::size_t machine);
   /// Starts a machine that is expected to end by itself.
   EndedProcess run_to_end(std::size_t machine);
   void kill(std::size_t machine);
   void freeze(std::size_t machine);
   void thaw(std::size_t machine);
-  /// Planned stop; the exit code.
+  /// Stops a machine gracefully and returns the exit code.
   int stop(std::size_t machine);
-  /// Empties the data folder of a machine that does not run.
+  /// Empties the data folder of a stopped machine.
   void wipe(std::size_t machine);
-  /// Silences all connections between the machine and the others, or restores them. Needs Links::kMesh.
+  /// Partitions a machine from all others without closing connections, or restores its links. Needs
+  /// Links::kMesh.
   void cut_off(std::size_t machine);
   void reconnect(std::size_t machine);
-  /// A link to the machine's operators' interface on which every answer is lost; where it listens.
+  /// Creates a link to a machine's operator API that drops every reply, and returns the address it listens
+  /// on.
   core::Endpoint link_without_answers(std::size_t machine);
 
-  /// One number of the machine's metrics, such as "term". Served also without a leader.
+  /// Reads the metric pipitpond_control_NAME of a machine, such as NAME "term". Works without a leader too.
   [[nodiscard]] std::uint64_t metric(std::size_t machine, const std::string& name) const;
-  /// A status that the machine serves as current, or nothing.
+  /// Returns GET /v1/status of a machine, or nothing if the request fails.
   std::optional<nlohmann::json> status(std::size_t machine);
-  /// Waits until one of the given machines serves a status with one of them as leader; that one.
+  /// Waits until one of the given machines reports one of them as the leader, and returns that leader.
   std::size_t wait_for_leader(const std::vector<std::size_t>& among = {0, 1, 2});
-  /// Creates or revises a zone.
+  /// Sends PUT /v1/zones/ZONE, which creates or updates a zone.
   std::optional<experiment::JsonReply> put_zone(std::size_t machine, const std::string& zone,
                                                 std::uint64_t revision, const std::string& key,
                                                 const std::string& region = "kingston");
-  /// Region of a zone as the machine serves it; empty when there is none or no answer.
+  /// Reads the region of a zone from a machine. Empty if the zone does not exist or the request fails.
   std::string region(std::size_t machine, const std::string& zone);
-  /// Runs pipitctl against these addresses.
+  /// Runs pipitctl with the given control addresses and returns its result.
   EndedProcess pipitctl(const std::vector<core::Endpoint>& control,
                         const std::vector<std::string>& arguments);
 
@@ -82,9 +84,9 @@
   std::unique_ptr<fleet::Fleet> fleet_;
 };
 
-/// True for an answer that accepts.
+/// Returns true if there is a reply and it reports success.
 bool accepted(const std::optional<experiment::JsonReply>& reply);
-/// The answer's revision; 0 when it does not accept.
+/// Returns the revision in a successful reply, or 0.
 std::uint64_t revision_of(const std::optional<experiment::JsonReply>& reply);
 
 }  // namespace pipitpond::testing
--- a/tests/control_processes/cut_off_test.cpp
+++ b/tests/control_processes/cut_off_test.cpp
@@ -1,4 +1,4 @@
-// A control machine that is cut off in silence from the others, and comes back.
+// Network partition of one control machine, in which its connections stay open, and its end.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -11,12 +11,12 @@
 namespace pipitpond::testing {
 namespace {
 
-/// Long elections, so that no stall of a busy machine makes a leader lose its office: what is left as a cause
-/// is the cut itself.
+/// Long election timeouts, so that a stall of a busy machine does not cost a leader its leadership and only
+/// the partition can cause an election.
 constexpr fleet::RaftTimes kPatient{std::chrono::milliseconds(200), std::chrono::seconds(2),
                                     std::chrono::seconds(4)};
 
-/// Leader and term by a machine's status.
+/// Leader and term according to a machine's status; empty and 0 if it serves none.
 std::pair<std::string, std::uint64_t> leadership(ControlCluster& cluster, std::size_t machine) {
   const auto status = cluster.status(machine);
   if (!status) {
@@ -33,12 +33,12 @@
   ASSERT_NE(before.first, "");
 
   cluster.cut_off(cut);
-  // The cut is in force: it hears no leader and stands for election, again and again, in vain.
+  // The partition is in effect once the machine, which receives no heartbeats, has lost several elections.
   constexpr std::uint64_t kTimes = 4;
   const std::uint64_t stood = cluster.metric(cut, "candidacies_total");
   ASSERT_TRUE(wait_for([&] { return cluster.metric(cut, "candidacies_total") >= stood + kTimes; }));
-  EXPECT_EQ(cluster.metric(cut, "term"), before.second) << "a term was begun without a majority";
-  EXPECT_FALSE(cluster.status(cut).has_value()) << "a cut-off machine served a status as current";
+  EXPECT_EQ(cluster.metric(cut, "term"), before.second) << "a term was started without a majority";
+  EXPECT_FALSE(cluster.status(cut).has_value()) << "a partitioned machine served its status";
   ASSERT_TRUE(accepted(cluster.put_zone(leader, "missed", 0, "missed")));
   EXPECT_EQ(cluster.region(cut, "missed"), "");
   EXPECT_EQ(leadership(cluster, leader), before);
@@ -46,8 +46,8 @@
   cluster.reconnect(cut);
   EXPECT_TRUE(
       wait_for([&] { return cluster.metric(cut, "revision") == cluster.metric(leader, "revision"); }));
-  // Passed on to the leader over the same connection as what the cut had held back: once they are answered
-  // the leader has handled all of that.
+  // These are forwarded to the leader over the connection that also carries the messages delayed by the
+  // partition: once they are answered, the leader has processed those messages too.
   constexpr int kChanges = 10;
   for (int change = 0; change < kChanges; ++change) {
     const std::string zone = "later-" + std::to_string(change);
@@ -70,10 +70,10 @@
   auto lost = std::async(std::launch::async, [&] {
     return cluster.put_zone(cut, "hall-1", revision, "lost", "from-the-cut-one");
   });
-  // The change is half made: in the log of the machine that still takes itself for the leader.
+  // The change is in the log of the partitioned machine, which still considers itself the leader.
   ASSERT_TRUE(wait_for([&] { return cluster.metric(cut, "syncs_total") > syncs; }));
   ASSERT_EQ(cluster.metric(cut, "leader"), 1U);
-  EXPECT_EQ(cluster.region(cut, "hall-1"), "") << "a leader without a majority served a read as current";
+  EXPECT_EQ(cluster.region(cut, "hall-1"), "") << "a leader without a majority served a read";
   const auto rest = ControlCluster::others_than(cut);
   cluster.wait_for_leader(rest);
   const auto changed = cluster.put_zone(rest[0], "hall-1", revision, "k2", "new");
--- a/tests/control_processes/disk_test.cpp
+++ b/tests/control_processes/disk_test.cpp
@@ -1,4 +1,4 @@
-// What a control machine does with a disk that was lost, torn or corrupted.
+// Restart of a control machine whose data folder was lost, has a torn log tail or is corrupt.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -82,7 +82,7 @@
   cluster.kill(torn);
   const auto segment = last_segment(cluster.data_folder(torn));
   ASSERT_FALSE(segment.empty());
-  // What a crash in the middle of a write leaves: the first bytes of a frame.
+  // A crash in the middle of a write leaves the first bytes of a frame.
   std::string bytes;
   {
     std::ifstream file(segment, std::ios::binary);
@@ -92,7 +92,7 @@
   cluster.start(torn);
   EXPECT_TRUE(wait_for([&] { return cluster.region(torn, "zone-4") == "kingston"; }));
 
-  // It counts again: with it alone the other two can lose one.
+  // It counts for the quorum again, so that one of the other two can be lost.
   cluster.kill((torn + 1) % ControlCluster::kMachines);
   cluster.wait_for_leader({torn, (torn + 2) % ControlCluster::kMachines});
   const auto put = cluster.put_zone(torn, "hall-1", 0, "k");
@@ -108,7 +108,7 @@
   const auto segment = last_segment(cluster.data_folder(corrupt));
   ASSERT_FALSE(segment.empty());
   {
-    // In the first record: damage to the last one can't be told from a torn tail.
+    // In the first record, because damage to the last one can't be distinguished from a torn tail.
     constexpr std::streamoff kDamagedByte = 20;
     std::fstream file(segment, std::ios::binary | std::ios::in | std::ios::out);
     file.seekg(kDamagedByte);
@@ -121,7 +121,7 @@
   EXPECT_NE(ended.output.find("can't be trusted"), std::string::npos) << ended.output;
   EXPECT_NE(ended.output.find("Move the data folder away"), std::string::npos) << ended.output;
 
-  // The remedy works: with an empty folder the machine joins anew.
+  // The remedy works: with an empty folder the machine joins again.
   cluster.wipe(corrupt);
   cluster.start(corrupt);
   EXPECT_TRUE(wait_for([&] { return cluster.region(corrupt, "zone-4") == "kingston"; }));
--- a/tests/control_processes/leader_loss_test.cpp
+++ b/tests/control_processes/leader_loss_test.cpp
@@ -1,4 +1,5 @@
-// Loss of the control leader, with real processes: killed, frozen and thawed, all at once, planned.
+// Loss of the control leader with real processes: killed, frozen (SIGSTOP) and thawed, all processes killed,
+// and graceful shutdown.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -39,7 +40,7 @@
   cluster.wait_for_leader(rest);
   ASSERT_TRUE(accepted(cluster.put_zone(rest[0], "hall-1", old_revision, "k2", "new")));
 
-  // Sent while it is frozen, so that it finds them before it hears of the new leader.
+  // Sent while it is frozen, so that it reads them before it learns of the new leader.
   constexpr int kReads = 8;
   std::vector<std::future<std::string>> reads;
   reads.reserve(kReads);
@@ -92,7 +93,7 @@
   writers.reserve(kWriters);
   const auto rest = ControlCluster::others_than(leader);
   for (int writer = 0; writer < kWriters; ++writer) {
-    // Half of them ask another machine, which passes their changes on to the leader.
+    // Each half of the writers uses one follower, which forwards the changes to the leader.
     writers.push_back(std::async(std::launch::async, [&, writer] {
       int refused = 0;
       for (int change = 0; change < kChangesEach; ++change) {
@@ -103,7 +104,7 @@
       return refused;
     }));
   }
-  // Without followers it can't be committed, so it is surely in progress when the stop begins.
+  // It can't be committed while the followers are frozen, so it is still in progress when the stop begins.
   for (const std::size_t follower : rest) {
     cluster.freeze(follower);
   }
--- a/tests/control_processes/operators_test.cpp
+++ b/tests/control_processes/operators_test.cpp
@@ -1,4 +1,5 @@
-// Operators' changes through several control machines: races, lost answers, and what pipitctl makes of them.
+// Operators' changes through several control machines: conflicts, lost replies, and how pipitctl reports
+// them.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -57,7 +58,7 @@
       }
     }
     ASSERT_EQ(winners, 1);
-    ASSERT_EQ(told.size(), 1U) << "the losers were told another revision than the winner";
+    ASSERT_EQ(told.size(), 1U) << "a refused request reported another revision than the accepted one";
     ASSERT_GT(*told.begin(), revision);
     revision = *told.begin();
   }
@@ -79,7 +80,8 @@
     ASSERT_TRUE(revised);
     EXPECT_EQ(revised->status, 409U);
     const auto first = revised->body.at("current_revision").get<std::uint64_t>();
-    // A later change, so that a resend that ran anew would be told another revision or a conflict.
+    // A later change, so that a resent request that was executed again would get another revision or a
+    // conflict.
     ASSERT_TRUE(cluster.put_zone(other, zone, first, "later-" + zone, "later")->accepted());
     const auto resent = cluster.put_zone(other, zone, 0, "lost-" + zone, "once");
     ASSERT_TRUE(resent && resent->accepted()) << (resent ? resent->text : "no answer");
@@ -100,13 +102,13 @@
   ASSERT_TRUE(other);
   ASSERT_EQ(other->status, 409U);
   const auto first = other->body.at("current_revision").get<std::uint64_t>();
-  // From now on a resent change that ran anew would be a conflict, or undo this one.
+  // From now on a resent request that was executed again would be a conflict or overwrite this change.
   ASSERT_TRUE(accepted(cluster.put_zone(leader, "hall-1", first, "later", "later")));
 
   const auto resend_to = [&](const std::vector<std::size_t>& machines) {
     for (const std::size_t machine : machines) {
       std::optional<experiment::JsonReply> resent;
-      // One without a leader at the moment tells nothing; the operator sends it again.
+      // A machine that currently knows no leader replies with an error; the operator retries.
       ASSERT_TRUE(wait_for([&] {
         resent = cluster.put_zone(machine, "hall-1", 0, "lost", "once");
         return resent && resent->status < 500U;
