--- a/src/control/announcer.cpp
+++ b/src/control/announcer.cpp
@@ -22,27 +22,27 @@
     co_return;
   }
   sender_ = std::move(sender.value());
-  core::Duration rest = kFirstAnnouncementPause;
+  core::Duration round_pause = kFirstRoundPause;
   for (int round = 0; round < kAnnouncementRounds && !stopped_; ++round) {
     co_await announce_to(silent_daemons_());
-    co_await pause(rest);
-    rest *= 2;
+    co_await pause(round_pause);
+    round_pause *= 2;
   }
   logging::logger("control")->info("event=announced datagrams={}", sent_);
 }
 
 awaitable<void> Announcer::announce_to(std::vector<core::Endpoint> daemons) {
   const std::string announcement = wire::pack(protocol::ControlAnnouncement{self_});
-  std::size_t at_once = 0;
+  std::size_t sent_in_batch = 0;
   for (const core::Endpoint& daemon : daemons) {
     if (stopped_) {
       co_return;
     }
     sender_->send(daemon, announcement);
     ++sent_;
-    if (++at_once == kAnnouncementsAtOnce) {
-      at_once = 0;
-      co_await pause(kPauseBetweenAnnouncements);
+    if (++sent_in_batch == kAnnouncementBatchSize) {
+      sent_in_batch = 0;
+      co_await pause(kAnnouncementBatchPause);
     }
   }
 }
--- a/src/control/announcer.hpp
+++ b/src/control/announcer.hpp
@@ -6,7 +6,7 @@
 // ones of 9 replicas were up, 0.35 s after the first replica.
 #pragma once
 
-#include <utility>  // Before Asio's coroutine headers, which lack it.
+#include <utility>  // Before Asio's coroutine headers, which use it without including it.
 //
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -52,10 +52,10 @@
 /// Several rounds, because a daemon may start after the first one and datagrams may be lost. The pause
 /// doubles after each round, so that the last round is sent 1.9 s after the start.
 inline constexpr int kAnnouncementRounds = 6;
-inline constexpr core::Duration kFirstAnnouncementPause = std::chrono::milliseconds(60);
+inline constexpr core::Duration kFirstRoundPause = std::chrono::milliseconds(60);
 /// Datagrams sent without a pause, and the pause after them: limits the load to about 30% of the CPU time of
 /// a machine with 0.15 of a core.
-inline constexpr std::size_t kAnnouncementsAtOnce = 32;
-inline constexpr core::Duration kPauseBetweenAnnouncements = std::chrono::milliseconds(10);
+inline constexpr std::size_t kAnnouncementBatchSize = 32;
+inline constexpr core::Duration kAnnouncementBatchPause = std::chrono::milliseconds(10);
 
 }  // namespace pipitpond::control
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Terminates without cleanup: after an unrecoverable disk error the state in memory must not be used.
-[[noreturn]] void end_at_once(const core::Error& error) {
+[[noreturn]] void terminate_process(const core::Error& error) {
   logging::logger("control")->critical("unrecoverable error, terminating the process: {}",
                                        core::describe(error));
   std::_Exit(runtime::kExitFailed);
@@ -24,7 +24,7 @@
  public:
   /// `settings` must outlive the daemon; they are assigned again at each reload.
   ControlDaemon(boost::asio::io_context& io, const ControlSettings& settings, const ControlAdapters& adapters)
-      : io_(io), settings_(settings), server_(io, settings.options(), end_at_once, adapters) {}
+      : io_(io), settings_(settings), server_(io, settings.options(), terminate_process, adapters) {}
 
   core::Result<void> start() {
     std::optional<core::Result<void>> started;
--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -18,25 +18,25 @@
 using boost::asio::awaitable;
 
 /// Interval at which connections to all other members are checked.
-constexpr core::Duration kConnectInterval = std::chrono::milliseconds(50);
+constexpr core::Duration kConnectionCheckInterval = std::chrono::milliseconds(50);
 /// Interval between attempts to open the data folder while its disk is full.
-constexpr core::Duration kFullDiskRetryAtStart = std::chrono::milliseconds(500);
-constexpr core::Duration kHandOverLimit = std::chrono::seconds(3);
-constexpr core::Duration kFinishLimit = std::chrono::seconds(5);
+constexpr core::Duration kFullDiskRetryInterval = std::chrono::milliseconds(500);
+constexpr core::Duration kLeadershipTransferTimeout = std::chrono::seconds(3);
+constexpr core::Duration kRequestDrainTimeout = std::chrono::seconds(5);
 /// Time for rejecting what daemons and other replicas still send during the shutdown.
-constexpr core::Duration kFarewellLimit = std::chrono::milliseconds(500);
-constexpr core::Duration kStopPoll = std::chrono::milliseconds(20);
-/// How often announce() polls for an applied configuration, which the Raft log restores soon after the start.
-constexpr int kLooksForState = 10;
+constexpr core::Duration kWireDrainTimeout = std::chrono::milliseconds(500);
+constexpr core::Duration kPollInterval = std::chrono::milliseconds(20);
+/// Maximum number of polls by announce() for a configuration, which the replica applies soon after its start.
+constexpr int kMaxStatePolls = 10;
 constexpr std::uint32_t kMillisPerSecond = 1000;
 
 /// Increments a counter of requests for its own lifetime.
-class InProgress {
+class InFlightRequest {
  public:
-  explicit InProgress(std::size_t& count) : count_(count) { ++count_; }
-  ~InProgress() { --count_; }
-  InProgress(const InProgress&) = delete;
-  InProgress& operator=(const InProgress&) = delete;
+  explicit InFlightRequest(std::size_t& count) : count_(count) { ++count_; }
+  ~InFlightRequest() { --count_; }
+  InFlightRequest(const InFlightRequest&) = delete;
+  InFlightRequest& operator=(const InFlightRequest&) = delete;
 
  private:
   std::size_t& count_;
@@ -73,7 +73,7 @@
                              std::function<void(const core::Error&)> failed, ControlAdapters adapters)
     : io_(io),
       options_(std::move(options)),
-      failed_(std::move(failed)),
+      on_failure_(std::move(failed)),
       adapters_(std::move(adapters)),
       peers_(io,
              [this](raft::Message message) {
@@ -81,15 +81,15 @@
                  replica_->receive(std::move(message));
                }
              }),
-      notices_(io, [this](protocol::Revision revision) { tell_daemons(revision); }) {}
+      notices_(io, [this](protocol::Revision revision) { notify_daemons(revision); }) {}
 
 awaitable<core::Result<void>> ControlServer::start() {
   logging::set_process(options_.name);
-  auto disk = co_await start_disk(options_, peers_);
+  auto disk = co_await open_disk(options_, peers_);
   while (!disk && disk.error().kind == core::ErrorKind::kNoCapacity) {
     logging::logger("control")->error("event=disk_full_at_start {}", core::describe(disk.error()));
-    co_await pause(kFullDiskRetryAtStart);
-    disk = co_await start_disk(options_, peers_);
+    co_await pause(kFullDiskRetryInterval);
+    disk = co_await open_disk(options_, peers_);
   }
   if (!disk) {
     co_return disk.error();
@@ -125,7 +125,7 @@
   ReplicaEvents events;
   events.configuration_changed = [this](const protocol::Configuration& value) { on_configuration(value); };
   events.leadership_changed = [this](bool leading) { on_leadership(leading); };
-  events.failed = failed_;
+  events.failed = on_failure_;
   const auto persist = [this](const raft::Ready& ready) { return disk_.storage->persist(ready); };
   const auto send_message = [this](raft::Message message) { send(std::move(message)); };
   std::random_device seed;
@@ -136,7 +136,7 @@
 void ControlServer::make_services() {
   duties_ = std::make_unique<LeaderDuties>(
       io_, *replica_, options_.daemon_lease,
-      [this](DatabaseCallAnswers answers) { return make_database_calls(std::move(answers)); });
+      [this](DatabaseCallAnswers callbacks) { return make_database_calls(std::move(callbacks)); });
   const auto forward = [this](core::Endpoint leader, protocol::OperatorRequest request,
                               core::Duration timeout) {
     return peers_.forward(std::move(leader), std::move(request), timeout);
@@ -148,24 +148,25 @@
   announcer_ = std::make_unique<Announcer>(io_, options_.self().internal,
                                            [this] { return daemons_->silent_daemons(); });
   joiner_ = std::make_unique<Joiner>(
-      io_, replica_->node(), peers_, [this](const raft::Message& message) { send_to_callers(message); },
-      options_.self(), options_.peers);
+      io_, replica_->node(), peers_,
+      [this](const raft::Message& message) { send_to_connected_replicas(message); }, options_.self(),
+      options_.peers);
   if (options_.platform) {
     platform_ = std::make_unique<PlatformWatch>(io_, *options_.platform, options_.platform_interval,
                                                 *replica_, *duties_);
   }
 }
 
-std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallAnswers answers) {
+std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallAnswers callbacks) {
   if (!adapters_.make_database_calls) {
-    return std::make_unique<HttpDatabaseCalls>(io_, options_.database_calls, std::move(answers));
+    return std::make_unique<HttpDatabaseCalls>(io_, options_.database_calls, std::move(callbacks));
   }
   LeaderMandate mandate;
   mandate.holds = [this] {
     return replica_->leading() && replica_->node().has_quorum(core::BootClock::now());
   };
   mandate.token = [this] { return replica_->node().term(); };
-  return adapters_.make_database_calls(io_, std::move(mandate), std::move(answers));
+  return adapters_.make_database_calls(io_, std::move(mandate), std::move(callbacks));
 }
 
 core::Result<void> ControlServer::open_ports() {
@@ -205,7 +206,7 @@
   }
 }
 
-void ControlServer::send_to_callers(const raft::Message& message) {
+void ControlServer::send_to_connected_replicas(const raft::Message& message) {
   if (!wire_) {
     return;
   }
@@ -220,7 +221,7 @@
   notices_.announce(configuration.revision);
 }
 
-void ControlServer::tell_daemons(protocol::Revision revision) {
+void ControlServer::notify_daemons(protocol::Revision revision) {
   if (!wire_) {
     return;
   }
@@ -252,15 +253,15 @@
   } else if (request.path == "/metrics") {
     http::Response response;
     response.content_type = metrics::kContentType;
-    response.body = render_metrics(*replica_, *duties_, *daemons_, edge_counters());
+    response.body = render_metrics(*replica_, *duties_, *daemons_, io_counters());
     respond(std::move(response));
   } else {
     boost::asio::co_spawn(io_, serve_operator(std::move(request), std::move(respond)), boost::asio::detached);
   }
 }
 
-EdgeCounters ControlServer::edge_counters() const {
-  EdgeCounters counters;
+IoCounters ControlServer::io_counters() const {
+  IoCounters counters;
   counters.wire_bytes_received = peers_.bytes_received() + (wire_ ? wire_->bytes_received() : 0);
   counters.wire_bytes_sent = peers_.bytes_sent() + (wire_ ? wire_->bytes_sent() : 0);
   counters.log_bytes_written = disk_.storage->bytes_written();
@@ -271,7 +272,7 @@
   if (stopping_) {
     return json_response(503, R"({"status":"stopping"})");
   }
-  if (replica_->without_room()) {
+  if (replica_->disk_full()) {
     return json_response(503, R"({"status":"the disk is full"})");
   }
   const raft::Node& node = replica_->node();
@@ -285,20 +286,20 @@
 }
 
 awaitable<void> ControlServer::serve_operator(http::Request request, http::Responder respond) {
-  const InProgress counted(requests_in_progress_);
-  protocol::OperatorRequest asked{request.method, request.path, request.query, request.body};
-  auto reply = co_await operators_->handle(std::move(asked));
+  const InFlightRequest counted(requests_in_progress_);
+  protocol::OperatorRequest operator_request{request.method, request.path, request.query, request.body};
+  auto reply = co_await operators_->handle(std::move(operator_request));
   respond(to_response(std::move(reply)));
 }
 
 awaitable<void> ControlServer::serve_translated(TranslatedCall call, http::Responder respond) {
-  const InProgress counted(requests_in_progress_);
+  const InFlightRequest counted(requests_in_progress_);
   auto reply = co_await operators_->handle(std::move(call.request));
   respond(call.answer(std::move(reply)));
 }
 
 awaitable<protocol::OperatorReply> ControlServer::serve_forwarded(protocol::OperatorRequest request) {
-  const InProgress counted(requests_in_progress_);
+  const InFlightRequest counted(requests_in_progress_);
   auto reply = co_await operators_->handle_as_leader(std::move(request));
   co_return reply;
 }
@@ -315,8 +316,8 @@
 }
 
 awaitable<void> ControlServer::announce() {
-  for (int look = 0; look < kLooksForState && replica_->machine().configuration().revision == 0; ++look) {
-    co_await pause(kStopPoll);
+  for (int poll = 0; poll < kMaxStatePolls && replica_->machine().configuration().revision == 0; ++poll) {
+    co_await pause(kPollInterval);
   }
   if (!stopping_) {
     co_await announcer_->run();
@@ -333,7 +334,7 @@
         peers_.keep_connected(member.internal);
       }
     }
-    co_await pause(kConnectInterval);
+    co_await pause(kConnectionCheckInterval);
   }
 }
 
@@ -342,10 +343,10 @@
   announcer_->stop();
   joiner_->stop();
   http_->close_after_answers();
-  co_await hand_over_leadership();
-  co_await http_->drain(kFinishLimit, http::IdleEnd::kSilent);
-  co_await finish_requests();
-  co_await wire_->drain(kFarewellLimit);
+  co_await transfer_leadership_and_wait();
+  co_await http_->drain(kRequestDrainTimeout, http::IdleEnd::kSilent);
+  co_await wait_for_requests();
+  co_await wire_->drain(kWireDrainTimeout);
   if (platform_) {
     platform_->stop();
   }
@@ -355,10 +356,10 @@
   wire_.reset();
 }
 
-awaitable<void> ControlServer::hand_over_leadership() {
-  const core::Instant give_up = core::BootClock::now() + kHandOverLimit;
+awaitable<void> ControlServer::transfer_leadership_and_wait() {
+  const core::Instant deadline = core::BootClock::now() + kLeadershipTransferTimeout;
   const raft::Node& node = replica_->node();
-  while (node.role() == raft::Role::kLeader && core::BootClock::now() < give_up) {
+  while (node.role() == raft::Role::kLeader && core::BootClock::now() < deadline) {
     const bool alone = node.membership().voter_count() <= 1;
     if (alone) {
       co_return;
@@ -366,14 +367,14 @@
     if (!node.transferring()) {
       (void)replica_->transfer_leadership();
     }
-    co_await pause(kStopPoll);
+    co_await pause(kPollInterval);
   }
 }
 
-awaitable<void> ControlServer::finish_requests() {
-  const core::Instant give_up = core::BootClock::now() + kFinishLimit;
-  while (requests_in_progress_ > 0 && core::BootClock::now() < give_up) {
-    co_await pause(kStopPoll);
+awaitable<void> ControlServer::wait_for_requests() {
+  const core::Instant deadline = core::BootClock::now() + kRequestDrainTimeout;
+  while (requests_in_progress_ > 0 && core::BootClock::now() < deadline) {
+    co_await pause(kPollInterval);
   }
 }
 
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -36,9 +36,9 @@
 /// Translates a request. Returns nothing if the request does not belong to the other API.
 using TranslateRequest = std::function<std::optional<TranslatedCall>(const http::Request&)>;
 
-/// Lets calls to external systems check leadership and carry a fencing token that grows with each leader.
+/// Lets calls to external systems check leadership and send a fencing token, which grows with each leader.
 struct LeaderMandate {
-  std::function<bool()> holds;           ///< This replica leads and a quorum has confirmed it recently.
+  std::function<bool()> holds;           ///< This replica leads and no other can have been elected.
   std::function<std::uint64_t()> token;  ///< The fencing token: the Raft term.
 };
 
@@ -72,29 +72,29 @@
   void make_replica(raft::PersistedState persisted);
   void make_services();
   void send(raft::Message message);
-  void send_to_callers(const raft::Message& message);
+  void send_to_connected_replicas(const raft::Message& message);
   void on_configuration(const protocol::Configuration& configuration);
-  void tell_daemons(protocol::Revision revision);
+  void notify_daemons(protocol::Revision revision);
   void on_leadership(bool leading);
-  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallAnswers answers);
+  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallAnswers callbacks);
   void on_http(http::Request request, http::Responder respond);
   boost::asio::awaitable<void> serve_translated(TranslatedCall call, http::Responder respond);
   boost::asio::awaitable<void> serve_operator(http::Request request, http::Responder respond);
   boost::asio::awaitable<protocol::OperatorReply> serve_forwarded(protocol::OperatorRequest request);
   boost::asio::awaitable<void> announce();
   boost::asio::awaitable<void> keep_members_connected();
-  boost::asio::awaitable<void> hand_over_leadership();
-  boost::asio::awaitable<void> finish_requests();
+  boost::asio::awaitable<void> transfer_leadership_and_wait();
+  boost::asio::awaitable<void> wait_for_requests();
   boost::asio::awaitable<void> pause(core::Duration duration);
   [[nodiscard]] http::Response readiness() const;
-  [[nodiscard]] EdgeCounters edge_counters() const;
+  [[nodiscard]] IoCounters io_counters() const;
 
   boost::asio::io_context& io_;
   ControlOptions options_;
-  std::function<void(const core::Error&)> failed_;
+  std::function<void(const core::Error&)> on_failure_;
   ControlAdapters adapters_;
   PeerChannels peers_;
-  StartedDisk disk_;
+  OpenedDisk disk_;
   std::unique_ptr<Replica> replica_;
   std::unique_ptr<LeaderDuties> duties_;
   std::unique_ptr<OperatorApi> operators_;
--- a/src/control/daemon_changes.cpp
+++ b/src/control/daemon_changes.cpp
@@ -12,7 +12,7 @@
 using boost::asio::awaitable;
 
 /// Pause after a proposal that failed or changed nothing: each proposal costs every replica a disk sync.
-constexpr core::Duration kRefusedRest = std::chrono::milliseconds(200);
+constexpr core::Duration kFailureBackoff = std::chrono::milliseconds(200);
 
 core::DaemonId daemon_of(const DaemonOperation& operation) {
   return std::visit([](const auto& one) { return one.id; }, operation);
@@ -37,22 +37,22 @@
 
 bool DaemonChanges::add(const DaemonOperation& operation) {
   const core::DaemonId daemon = daemon_of(operation);
-  if (in_progress_.contains(daemon) || waiting_.contains(daemon)) {
+  if (in_progress_.contains(daemon) || pending_.contains(daemon)) {
     return false;
   }
-  waiting_.emplace(daemon, Waiting{operation, {}});
+  pending_.emplace(daemon, PendingChange{operation, {}});
   schedule();
   return true;
 }
 
 awaitable<core::Result<void>> DaemonChanges::remove(configuration::RemoveDaemon removal,
                                                     core::Duration timeout) {
-  auto done = std::make_shared<Done>(io_);
-  Waiting& waiting = waiting_[removal.id];
-  waiting.operation = std::move(removal);
-  waiting.done.push_back(done);
+  auto done = std::make_shared<Completion>(io_);
+  PendingChange& change = pending_[removal.id];
+  change.operation = std::move(removal);
+  change.completions.push_back(done);
   schedule();
-  auto result = co_await Done::wait(done, timeout);
+  auto result = co_await Completion::wait(done, timeout);
   if (!result) {
     co_return core::fail(core::ErrorKind::kTimeout, "The daemon's removal was not confirmed.",
                          "Send the departure again.", 500);
@@ -69,25 +69,25 @@
 }
 
 awaitable<void> DaemonChanges::run() {
-  while (!waiting_.empty()) {
-    co_await pause(next_ - core::BootClock::now());
-    next_ = core::BootClock::now() + interval_;
+  while (!pending_.empty()) {
+    co_await pause(next_proposal_at_ - core::BootClock::now());
+    next_proposal_at_ = core::BootClock::now() + interval_;
     const Batch batch = take_batch();
     configuration::ChangeDaemons changes;
-    for (const auto& [daemon, waiting] : batch) {
-      std::visit([&changes](const auto& one) { append(changes, one); }, waiting.operation);
+    for (const auto& [daemon, change] : batch) {
+      std::visit([&changes](const auto& one) { append(changes, one); }, change.operation);
       in_progress_.insert(daemon);
     }
     const auto result = co_await propose_(std::move(changes));
     in_progress_.clear();
-    for (const auto& [daemon, waiting] : batch) {
-      for (const std::shared_ptr<Done>& done : waiting.done) {
+    for (const auto& [daemon, change] : batch) {
+      for (const std::shared_ptr<Completion>& done : change.completions) {
         done->deliver(result ? core::Result<void>(core::outcome::success())
                              : core::Result<void>(core::outcome::failure(result.error())));
       }
     }
     if (!result || !result.value().changed) {
-      next_ = core::BootClock::now() + kRefusedRest;
+      next_proposal_at_ = core::BootClock::now() + kFailureBackoff;
     }
   }
   running_ = false;
@@ -104,8 +104,8 @@
 
 DaemonChanges::Batch DaemonChanges::take_batch() {
   Batch batch;
-  while (!waiting_.empty() && batch.size() < kMaxDaemonChanges) {
-    batch.insert(waiting_.extract(waiting_.begin()));
+  while (!pending_.empty() && batch.size() < kMaxChangesPerProposal) {
+    batch.insert(pending_.extract(pending_.begin()));
   }
   return batch;
 }
--- a/src/control/daemon_changes.hpp
+++ b/src/control/daemon_changes.hpp
@@ -30,7 +30,7 @@
 /// that a shorter interval would only create more revisions.
 inline constexpr core::Duration kDaemonChangesInterval = kNoticeInterval;
 /// Maximum number of changes in one proposal.
-inline constexpr std::size_t kMaxDaemonChanges = 1000;
+inline constexpr std::size_t kMaxChangesPerProposal = 1000;
 
 /// Queue of changes to daemons. At most one proposal is in progress; a change is proposed at once if none is
 /// and the interval since the last one has passed. Must outlive its proposals: stop the io_context first.
@@ -53,14 +53,14 @@
                                                     core::Duration timeout);
 
  private:
-  using Done = OneShot<core::Result<void>>;
+  using Completion = OneShot<core::Result<void>>;
 
-  struct Waiting {
+  struct PendingChange {
     DaemonOperation operation;
-    std::vector<std::shared_ptr<Done>> done;  ///< Completed with the result of the proposal.
+    std::vector<std::shared_ptr<Completion>> completions;  ///< Completed with the result of the proposal.
   };
 
-  using Batch = std::map<core::DaemonId, Waiting>;
+  using Batch = std::map<core::DaemonId, PendingChange>;
 
   void schedule();
   boost::asio::awaitable<void> run();
@@ -70,9 +70,9 @@
   boost::asio::io_context& io_;
   Propose propose_;
   core::Duration interval_;
-  core::Instant next_;
+  core::Instant next_proposal_at_;
   bool running_ = false;
-  Batch waiting_;
+  Batch pending_;
   std::set<core::DaemonId> in_progress_;
 };
 
--- a/src/control/daemon_service.cpp
+++ b/src/control/daemon_service.cpp
@@ -52,17 +52,17 @@
   std::erase_if(replica_peers_, [peer](const auto& entry) { return entry.second == peer; });
 }
 
-void DaemonService::note_heard(const core::DaemonId& daemon) {
+void DaemonService::record_contact(const core::DaemonId& daemon) {
   // Only admitted daemons, so that requests with arbitrary names cannot grow the set without bound.
   if (replica_.machine().configuration().daemons.contains(daemon)) {
-    heard_daemons_.insert(daemon);
+    daemons_seen_.insert(daemon);
   }
 }
 
 std::vector<core::Endpoint> DaemonService::silent_daemons() const {
   std::vector<core::Endpoint> silent;
   for (const auto& [id, daemon] : replica_.machine().configuration().daemons) {
-    if (!heard_daemons_.contains(id)) {
+    if (!daemons_seen_.contains(id)) {
       silent.push_back(daemon.internal);
     }
   }
@@ -90,7 +90,7 @@
     return heartbeat.error();
   }
   daemon_peers_.insert(peer);
-  note_heard(heartbeat.value().daemon);
+  record_contact(heartbeat.value().daemon);
   ++heartbeats_;
   protocol::HeartbeatReply reply;
   reply.sequence = heartbeat.value().sequence;
@@ -111,7 +111,7 @@
     return request.error();
   }
   daemon_peers_.insert(peer);
-  note_heard(request.value().daemon);
+  record_contact(request.value().daemon);
   ++fetches_;
   const protocol::FetchPage page = fetch_replies_.page(request.value());
   fetch_bytes_ += page.bytes.size();
--- a/src/control/daemon_service.hpp
+++ b/src/control/daemon_service.hpp
@@ -56,14 +56,14 @@
   boost::asio::awaitable<core::Result<std::string>> on_forward(std::string body);
   boost::asio::awaitable<core::Result<std::string>> on_departure(std::string body);
   [[nodiscard]] core::Error not_leader() const;
-  void note_heard(const core::DaemonId& daemon);
+  void record_contact(const core::DaemonId& daemon);
 
   Replica& replica_;
   LeaderDuties& duties_;
   HandleForwarded handle_forwarded_;
   FetchReplies fetch_replies_;
   std::set<wire::PeerId> daemon_peers_;
-  std::set<core::DaemonId> heard_daemons_;  ///< Only daemons that are in the configuration.
+  std::set<core::DaemonId> daemons_seen_;  ///< Only daemons that are in the configuration.
   std::map<core::ControlId, wire::PeerId> replica_peers_;
   std::uint64_t messages_ = 0;
   std::uint64_t heartbeats_ = 0;
--- a/src/control/database_calls.cpp
+++ b/src/control/database_calls.cpp
@@ -15,9 +15,9 @@
 using boost::asio::awaitable;
 
 /// Sends one request over a new connection.
-awaitable<core::Result<http::Response>> exchange(boost::asio::io_context& io, core::Endpoint endpoint,
-                                                 http::Request request, core::Duration connect_timeout,
-                                                 core::Duration timeout) {
+awaitable<core::Result<http::Response>> send_request(boost::asio::io_context& io, core::Endpoint endpoint,
+                                                     http::Request request, core::Duration connect_timeout,
+                                                     core::Duration timeout) {
   auto client = co_await http::Client::connect(io, endpoint, connect_timeout);
   if (!client) {
     co_return client.error();
@@ -36,7 +36,7 @@
 
 /// Parses the body of a response with status 200. Returns nothing for any other response.
 template <typename Answer>
-std::optional<Answer> answer_of(const core::Result<http::Response>& response) {
+std::optional<Answer> parse_answer(const core::Result<http::Response>& response) {
   if (!response || response.value().status != 200) {
     return std::nullopt;
   }
@@ -48,7 +48,7 @@
 }
 
 /// Returns the term in a refusal if it is newer than `asked`, and nothing for any other response.
-std::optional<core::Term> newer_term_of(const core::Result<http::Response>& response, core::Term asked) {
+std::optional<core::Term> parse_newer_term(const core::Result<http::Response>& response, core::Term asked) {
   if (!response || response.value().status == 200) {
     return std::nullopt;
   }
@@ -62,8 +62,8 @@
 }  // namespace
 
 HttpDatabaseCalls::HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
-                                     DatabaseCallAnswers answers)
-    : io_(io), timeouts_(timeouts), answers_(std::move(answers)) {}
+                                     DatabaseCallAnswers callbacks)
+    : io_(io), timeouts_(timeouts), callbacks_(std::move(callbacks)) {}
 
 void HttpDatabaseCalls::probe(failover::ProbeDatabase call) {
   boost::asio::co_spawn(io_, run_probe(std::move(call)), boost::asio::detached);
@@ -81,43 +81,44 @@
   http::Request request;
   request.path = "/v1/status";
   const auto response =
-      co_await exchange(io_, call.endpoint, std::move(request), timeouts_.connect, timeouts_.status);
-  const auto status = answer_of<database::StatusAnswer>(response);
+      co_await send_request(io_, call.endpoint, std::move(request), timeouts_.connect, timeouts_.status);
+  const auto status = parse_answer<database::StatusAnswer>(response);
   // Another database may listen at this endpoint; its status must not be taken for the requested one's.
   if (status && status->database == call.database) {
-    answers_.status(*status);
+    callbacks_.status(*status);
   } else {
-    answers_.status_failed(call.database);
+    callbacks_.status_failed(call.database);
   }
 }
 
 awaitable<void> HttpDatabaseCalls::run_fence(failover::FenceDatabase call) {
   const database::FenceRequest body{call.term};
-  const auto response = co_await exchange(io_, call.endpoint, post("/v1/fence", database::serialize(body)),
-                                          timeouts_.connect, timeouts_.fence);
-  const auto answer = answer_of<database::FenceAnswer>(response);
-  const auto newer = newer_term_of(response, call.term);
+  const auto response = co_await send_request(
+      io_, call.endpoint, post("/v1/fence", database::serialize(body)), timeouts_.connect, timeouts_.fence);
+  const auto answer = parse_answer<database::FenceAnswer>(response);
+  const auto newer_term = parse_newer_term(response, call.term);
   if (answer && answer->database == call.database) {
-    answers_.fenced(call, *answer);
-  } else if (newer) {
-    answers_.refused(call.group, call.database, call.term, *newer);
+    callbacks_.fenced(call, *answer);
+  } else if (newer_term) {
+    callbacks_.refused(call.group, call.database, call.term, *newer_term);
   } else {
-    answers_.fence_failed(call);
+    callbacks_.fence_failed(call);
   }
 }
 
 awaitable<void> HttpDatabaseCalls::run_promote(failover::PromoteDatabase call) {
   const database::PromoteRequest body{call.term, call.members};
-  const auto response = co_await exchange(io_, call.endpoint, post("/v1/promote", database::serialize(body)),
-                                          timeouts_.connect, timeouts_.promote);
-  const auto answer = answer_of<database::PromoteAnswer>(response);
-  const auto newer = newer_term_of(response, call.term);
+  const auto response =
+      co_await send_request(io_, call.endpoint, post("/v1/promote", database::serialize(body)),
+                            timeouts_.connect, timeouts_.promote);
+  const auto answer = parse_answer<database::PromoteAnswer>(response);
+  const auto newer_term = parse_newer_term(response, call.term);
   if (answer && answer->database == call.database && answer->term == call.term) {
-    answers_.promoted(call, *answer);
-  } else if (newer) {
-    answers_.refused(call.group, call.database, call.term, *newer);
+    callbacks_.promoted(call, *answer);
+  } else if (newer_term) {
+    callbacks_.refused(call.group, call.database, call.term, *newer_term);
   } else {
-    answers_.promote_failed(call);
+    callbacks_.promote_failed(call);
   }
 }
 
--- a/src/control/database_calls.hpp
+++ b/src/control/database_calls.hpp
@@ -48,12 +48,13 @@
 };
 
 /// Creates the DatabaseCalls of a process, which report to the given callbacks.
-using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallAnswers answers)>;
+using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallAnswers callbacks)>;
 
 /// Calls over the project's own protocol: HTTP with JSON.
 class HttpDatabaseCalls : public DatabaseCalls {
  public:
-  HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts, DatabaseCallAnswers answers);
+  HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
+                    DatabaseCallAnswers callbacks);
 
   void probe(failover::ProbeDatabase call) override;
   void fence(failover::FenceDatabase call) override;
@@ -66,7 +67,7 @@
 
   boost::asio::io_context& io_;
   DatabaseCallTimeouts timeouts_;
-  DatabaseCallAnswers answers_;
+  DatabaseCallAnswers callbacks_;
 };
 
 }  // namespace pipitpond::control
--- a/src/control/disk_start.cpp
+++ b/src/control/disk_start.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::awaitable;
 
-constexpr core::Duration kAskPeerTimeout = std::chrono::milliseconds(300);
+constexpr core::Duration kPeerQueryTimeout = std::chrono::milliseconds(300);
 
 /// Returns true if a peer reports a configuration, which means that the cluster was bootstrapped before.
 awaitable<bool> cluster_exists(ControlOptions options, PeerChannels& peers) {
@@ -19,7 +19,7 @@
     if (peer.name == options.name) {
       continue;
     }
-    const auto revision = co_await peers.revision_of(peer.internal, kAskPeerTimeout);
+    const auto revision = co_await peers.revision_of(peer.internal, kPeerQueryTimeout);
     if (revision && revision.value() > 0) {
       co_return true;
     }
@@ -28,7 +28,7 @@
 }
 
 /// Initial state of a new cluster; identical on all its voters.
-raft::PersistedState founding_state(const ControlOptions& options) {
+raft::PersistedState initial_state(const ControlOptions& options) {
   raft::Membership membership;
   for (const Peer& peer : options.peers) {
     membership.members.push_back(raft::Member{
@@ -46,10 +46,10 @@
 awaitable<core::Result<void>> initialize(ControlOptions options, PeerChannels& peers, storage::Disk& disk) {
   const bool named = std::any_of(options.peers.begin(), options.peers.end(),
                                  [&](const Peer& peer) { return peer.name == options.name; });
-  const bool founds = options.bootstrap && named && !(co_await cluster_exists(options, peers));
-  if (founds) {
+  const bool bootstraps = options.bootstrap && named && !(co_await cluster_exists(options, peers));
+  if (bootstraps) {
     const storage::Identity identity{options.cluster, core::ControlId(options.name)};
-    co_return storage::RaftStorage::create(disk, identity, founding_state(options));
+    co_return storage::RaftStorage::create(disk, identity, initial_state(options));
   }
   const auto identity = storage::joining_identity(options.cluster, options.name, random_number());
   co_return storage::RaftStorage::create(disk, identity, raft::PersistedState{});
@@ -57,12 +57,12 @@
 
 }  // namespace
 
-awaitable<core::Result<StartedDisk>> start_disk(ControlOptions options, PeerChannels& peers) {
+awaitable<core::Result<OpenedDisk>> open_disk(ControlOptions options, PeerChannels& peers) {
   auto disk = storage::FileDisk::open(options.data_folder);
   if (!disk) {
     co_return disk.error();
   }
-  StartedDisk started;
+  OpenedDisk started;
   started.disk = std::move(disk.value());
   auto identity = storage::read_identity(*started.disk);
   if (!identity) {
--- a/src/control/disk_start.hpp
+++ b/src/control/disk_start.hpp
@@ -14,7 +14,7 @@
 namespace pipitpond::control {
 
 /// An opened data folder.
-struct StartedDisk {
+struct OpenedDisk {
   std::unique_ptr<storage::FileDisk> disk;
   std::unique_ptr<storage::RaftStorage> storage;
   storage::Identity identity;
@@ -23,6 +23,6 @@
 /// Opens the data folder. An empty one bootstraps the cluster if the options allow it and no peer reports an
 /// existing one. Otherwise it gets a new identity under which the replica asks to join, so that a machine
 /// that has lost its disk never reuses an identity that has voted.
-boost::asio::awaitable<core::Result<StartedDisk>> start_disk(ControlOptions options, PeerChannels& peers);
+boost::asio::awaitable<core::Result<OpenedDisk>> open_disk(ControlOptions options, PeerChannels& peers);
 
 }  // namespace pipitpond::control
--- a/src/control/fetch_replies.cpp
+++ b/src/control/fetch_replies.cpp
@@ -7,13 +7,13 @@
 
 namespace pipitpond::control {
 
-FetchReplies::Bytes FetchReplies::current_reply(protocol::Revision after) {
+FetchReplies::SharedBytes FetchReplies::current_reply(protocol::Revision after) {
   const protocol::Revision current = machine_.configuration().revision;
-  if (current != current_ || packed_.size() >= kMaxKeptReplies) {
-    packed_.clear();
-    current_ = current;
+  if (current != cached_revision_ || cached_replies_.size() >= kMaxCachedReplies) {
+    cached_replies_.clear();
+    cached_revision_ = current;
   }
-  const auto [found, is_new] = packed_.try_emplace(after);
+  const auto [found, is_new] = cached_replies_.try_emplace(after);
   if (is_new) {
     found->second = std::make_shared<const std::string>(wire::pack_compact(machine_.changes_after(after)));
   }
@@ -23,7 +23,7 @@
 protocol::FetchPage FetchReplies::page(const protocol::FetchRequest& request) {
   protocol::FetchPage page;
   page.newest = machine_.configuration().revision;
-  Bytes bytes = transfer_of(request);
+  SharedBytes bytes = find_transfer(request);
   if (bytes) {
     page.revision = request.transfer;
     page.offset = request.offset;
@@ -31,7 +31,7 @@
     bytes = current_reply(request.after);
     page.revision = page.newest;
     if (bytes->size() > kFetchPageBytes) {
-      keep(Transfer{request.after, page.revision, bytes});
+      keep_transfer(Transfer{request.after, page.revision, bytes});
     }
   }
   page.total = bytes->size();
@@ -39,9 +39,9 @@
   return page;
 }
 
-FetchReplies::Bytes FetchReplies::transfer_of(const protocol::FetchRequest& request) {
-  const auto found = std::find_if(transfers_.begin(), transfers_.end(), [&request](const Transfer& one) {
-    return one.after == request.after && one.revision == request.transfer;
+FetchReplies::SharedBytes FetchReplies::find_transfer(const protocol::FetchRequest& request) {
+  const auto found = std::find_if(transfers_.begin(), transfers_.end(), [&request](const Transfer& existing) {
+    return existing.after == request.after && existing.revision == request.transfer;
   });
   if (found == transfers_.end() || request.offset >= found->bytes->size()) {
     return nullptr;
@@ -50,9 +50,9 @@
   return transfers_.back().bytes;
 }
 
-void FetchReplies::keep(Transfer transfer) {
-  const bool kept = std::any_of(transfers_.begin(), transfers_.end(), [&transfer](const Transfer& one) {
-    return one.after == transfer.after && one.revision == transfer.revision;
+void FetchReplies::keep_transfer(Transfer transfer) {
+  const bool kept = std::any_of(transfers_.begin(), transfers_.end(), [&transfer](const Transfer& existing) {
+    return existing.after == transfer.after && existing.revision == transfer.revision;
   });
   if (kept) {
     return;
--- a/src/control/fetch_replies.hpp
+++ b/src/control/fetch_replies.hpp
@@ -20,7 +20,7 @@
 inline constexpr std::size_t kFetchPageBytes = 32UL * 1024;
 /// Maximum number of cached replies for the current revision. A complete configuration has 180 KB at the
 /// target fleet size.
-inline constexpr std::size_t kMaxKeptReplies = 16;
+inline constexpr std::size_t kMaxCachedReplies = 16;
 /// Maximum size of the multi-page replies kept for daemons that have fetched a part of them; the least
 /// recently used ones are evicted. Without them, a daemon could never fetch all of a configuration that
 /// changes faster than it is transferred.
@@ -39,23 +39,23 @@
   protocol::FetchPage page(const protocol::FetchRequest& request);
 
  private:
-  using Bytes = std::shared_ptr<const std::string>;
+  using SharedBytes = std::shared_ptr<const std::string>;
   /// A multi-page reply.
   struct Transfer {
     protocol::Revision after = 0;
     protocol::Revision revision = 0;
-    Bytes bytes;
+    SharedBytes bytes;
   };
 
-  Bytes current_reply(protocol::Revision after);
+  SharedBytes current_reply(protocol::Revision after);
   /// Finds the kept reply that the request continues and marks it as most recently used. Returns null if
   /// there is none or if the offset is beyond its end.
-  Bytes transfer_of(const protocol::FetchRequest& request);
-  void keep(Transfer transfer);
+  SharedBytes find_transfer(const protocol::FetchRequest& request);
+  void keep_transfer(Transfer transfer);
 
   const configuration::StateMachine& machine_;
-  protocol::Revision current_ = 0;  ///< Revision that the replies in `packed_` lead to.
-  std::map<protocol::Revision, Bytes> packed_;
+  protocol::Revision cached_revision_ = 0;  ///< Revision that the replies in `cached_replies_` lead to.
+  std::map<protocol::Revision, SharedBytes> cached_replies_;
   std::deque<Transfer> transfers_;  ///< Least recently used first.
   std::size_t transfer_bytes_ = 0;
 };
--- a/src/control/joiner.cpp
+++ b/src/control/joiner.cpp
@@ -17,10 +17,10 @@
 /// Interval between join requests: initially a third of the minimum election timeout, so that a newly elected
 /// leader receives one soon. A request sends about 100 bytes to each known replica. The interval grows with
 /// the time since the first request.
-constexpr core::Duration kJoinInterval = std::chrono::milliseconds(100);
-constexpr core::Duration kLongestJoinInterval = std::chrono::milliseconds(400);
-constexpr int kPartOfTimeAsking = 8;
-constexpr core::Duration kLineInterval = std::chrono::seconds(1);
+constexpr core::Duration kMinJoinInterval = std::chrono::milliseconds(100);
+constexpr core::Duration kMaxJoinInterval = std::chrono::milliseconds(400);
+constexpr int kJoinIntervalDivisor = 8;
+constexpr core::Duration kLogInterval = std::chrono::seconds(1);
 
 std::string describe(const std::vector<core::Endpoint>& endpoints) {
   std::string text;
@@ -47,36 +47,37 @@
 }  // namespace
 
 Joiner::Joiner(boost::asio::io_context& io, const raft::Node& node, PeerChannels& peers,
-               SendToCallers send_to_callers, Peer self, std::vector<Peer> configured)
+               SendToConnectedReplicas send_to_connected_replicas, Peer self,
+               std::vector<Peer> configured_peers)
     : io_(io),
       node_(node),
       peers_(peers),
-      send_to_callers_(std::move(send_to_callers)),
+      send_to_connected_replicas_(std::move(send_to_connected_replicas)),
       self_(std::move(self)),
-      configured_(std::move(configured)) {}
+      configured_peers_(std::move(configured_peers)) {}
 
 awaitable<void> Joiner::run() {
   while (!stopped_) {
     const core::Instant now = core::BootClock::now();
     if (node_.wants_to_join()) {
-      ask(now);
+      send_requests(now);
     } else {
-      asking_since_.reset();
+      first_request_at_.reset();
     }
     boost::system::error_code ignored;
-    boost::asio::steady_timer timer(io_, pause(now));
+    boost::asio::steady_timer timer(io_, interval(now));
     co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
   }
 }
 
-core::Duration Joiner::pause(core::Instant now) const {
-  const core::Duration asking = asking_since_ ? now - *asking_since_ : core::Duration::zero();
-  return std::clamp(asking / kPartOfTimeAsking, kJoinInterval, kLongestJoinInterval);
+core::Duration Joiner::interval(core::Instant now) const {
+  const core::Duration elapsed = first_request_at_ ? now - *first_request_at_ : core::Duration::zero();
+  return std::clamp(elapsed / kJoinIntervalDivisor, kMinJoinInterval, kMaxJoinInterval);
 }
 
 std::vector<core::Endpoint> Joiner::targets() const {
   std::vector<core::Endpoint> targets = node_.join_contacts();
-  for (const Peer& peer : configured_) {
+  for (const Peer& peer : configured_peers_) {
     if (std::find(targets.begin(), targets.end(), peer.internal) == targets.end()) {
       targets.push_back(peer.internal);
     }
@@ -85,34 +86,34 @@
   return targets;
 }
 
-void Joiner::ask(core::Instant now) {
+void Joiner::send_requests(core::Instant now) {
   const raft::Member member{
       node_.config().id, self_.internal, self_.operators, raft::MemberRole::kLearner, {}};
   const raft::Message request = node_.join_request(member);
-  const std::vector<core::Endpoint> asked = targets();
-  for (const core::Endpoint& replica : asked) {
+  const std::vector<core::Endpoint> recipients = targets();
+  for (const core::Endpoint& replica : recipients) {
     peers_.send(replica, request);
   }
-  send_to_callers_(request);
-  log_request(now, asked);
+  send_to_connected_replicas_(request);
+  log_request(now, recipients);
 }
 
-void Joiner::log_request(core::Instant now, const std::vector<core::Endpoint>& asked) {
-  if (!asking_since_) {
-    asking_since_ = now;
-    next_line_ = now;
+void Joiner::log_request(core::Instant now, const std::vector<core::Endpoint>& recipients) {
+  if (!first_request_at_) {
+    first_request_at_ = now;
+    next_log_at_ = now;
   }
-  if (now < next_line_) {
+  if (now < next_log_at_) {
     return;
   }
-  next_line_ = now + kLineInterval;
+  next_log_at_ = now + kLogInterval;
   const std::optional<raft::JoinAnswer>& answer = node_.join_answer();
-  const bool answered = answer && answer->at >= *asking_since_;
+  const bool answered = answer && answer->at >= *first_request_at_;
   logging::logger("control")->info(
       "event=asks_to_join identity={} for_ms={} asked={} answered_by={} refusal={} leader={}",
-      logging::field(node_.config().id.value()), core::to_millis(now - *asking_since_), describe(asked),
-      logging::field(answered ? answer->from.value() : ""), answered ? name_of(answer->refusal) : "-",
-      logging::field(answered ? answer->leader.value() : ""));
+      logging::field(node_.config().id.value()), core::to_millis(now - *first_request_at_),
+      describe(recipients), logging::field(answered ? answer->from.value() : ""),
+      answered ? name_of(answer->refusal) : "-", logging::field(answered ? answer->leader.value() : ""));
 }
 
 }  // namespace pipitpond::control
--- a/src/control/json_fields.cpp
+++ b/src/control/json_fields.cpp
@@ -14,24 +14,24 @@
 std::string JsonFields::text(const std::string& field) {
   const nlohmann::json& value = required(field);
   if (!value.is_string()) {
-    bad(field, "text");
+    throw_bad_field(field, "text");
   }
   return value.get<std::string>();
 }
 
 std::string JsonFields::text_or(const std::string& field, std::string fallback) {
-  seen_.insert(field);
+  read_fields_.insert(field);
   return has(field) ? text(field) : std::move(fallback);
 }
 
 bool JsonFields::boolean_or(const std::string& field, bool fallback) {
-  seen_.insert(field);
+  read_fields_.insert(field);
   if (!has(field)) {
     return fallback;
   }
   const nlohmann::json& value = json_.at(field);
   if (!value.is_boolean()) {
-    bad(field, "true or false");
+    throw_bad_field(field, "true or false");
   }
   return value.get<bool>();
 }
@@ -40,7 +40,7 @@
   const nlohmann::json& value = required(field);
   const bool good = value.is_number_unsigned() && value.get<std::uint64_t>() <= max;
   if (!good) {
-    bad(field, "a whole number from 0 to " + std::to_string(max));
+    throw_bad_field(field, "a whole number from 0 to " + std::to_string(max));
   }
   return value.get<std::uint64_t>();
 }
@@ -48,7 +48,7 @@
 core::Endpoint JsonFields::endpoint(const std::string& field) {
   const auto parsed = core::parse_endpoint(text(field));
   if (!parsed) {
-    bad(field, "an endpoint such as 127.0.0.1:7001");
+    throw_bad_field(field, "an endpoint such as 127.0.0.1:7001");
   }
   return *parsed;
 }
@@ -56,7 +56,7 @@
 const nlohmann::json& JsonFields::object(const std::string& field) {
   const nlohmann::json& value = required(field);
   if (!value.is_object()) {
-    bad(field, "an object");
+    throw_bad_field(field, "an object");
   }
   return value;
 }
@@ -64,21 +64,21 @@
 const nlohmann::json& JsonFields::array(const std::string& field) {
   const nlohmann::json& value = required(field);
   if (!value.is_array()) {
-    bad(field, "an array");
+    throw_bad_field(field, "an array");
   }
   return value;
 }
 
-void JsonFields::no_others() const {
+void JsonFields::reject_unknown_fields() const {
   for (const auto& [field, value] : json_.items()) {
-    if (!seen_.contains(field)) {
+    if (!read_fields_.contains(field)) {
       throw BadField{where_ + " has the unknown field " + field + "."};
     }
   }
 }
 
 const nlohmann::json& JsonFields::required(const std::string& field) {
-  seen_.insert(field);
+  read_fields_.insert(field);
   const auto found = json_.find(field);
   if (found == json_.end()) {
     throw BadField{where_ + " has no field " + field + ", which is required."};
@@ -86,7 +86,7 @@
   return *found;
 }
 
-void JsonFields::bad(const std::string& field, const std::string& expected) const {
+void JsonFields::throw_bad_field(const std::string& field, const std::string& expected) const {
   throw BadField{where_ + "." + field + " must be " + expected + "."};
 }
 
--- a/src/control/json_fields.hpp
+++ b/src/control/json_fields.hpp
@@ -17,7 +17,7 @@
   std::string message;
 };
 
-/// The fields of one object. Read all known fields, then call `no_others`.
+/// The fields of one object. Read all known fields, then call `reject_unknown_fields`.
 class JsonFields {
  public:
   /// `where` is the path of the object in error messages, such as "spec.databases[0]".
@@ -32,15 +32,15 @@
   const nlohmann::json& array(const std::string& field);
   [[nodiscard]] bool has(const std::string& field) const { return json_.contains(field); }
   /// Throws if the object has a field that was not read: it is probably misspelt.
-  void no_others() const;
+  void reject_unknown_fields() const;
 
  private:
   const nlohmann::json& required(const std::string& field);
-  [[noreturn]] void bad(const std::string& field, const std::string& expected) const;
+  [[noreturn]] void throw_bad_field(const std::string& field, const std::string& expected) const;
 
   const nlohmann::json& json_;
   std::string where_;
-  std::set<std::string> seen_;
+  std::set<std::string> read_fields_;
 };
 
 /// Parses a body as JSON and passes it to `read`, which may throw BadField. Fails with kInvalidArgument.
--- a/src/control/leader_duties.cpp
+++ b/src/control/leader_duties.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr core::Duration kProposalTimeout = std::chrono::seconds(2);
-constexpr core::Duration kHandOverInterval = std::chrono::seconds(1);
+constexpr core::Duration kLeadershipTransferInterval = std::chrono::seconds(1);
 /// Time before a rejected command is proposed again: each proposal costs every replica a disk sync.
-constexpr core::Duration kRefusedRest = std::chrono::milliseconds(200);
+constexpr core::Duration kRejectionBackoff = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
       coordinator_([this](core::Instant now, protocol::Revision revision) {
         return leases_.followed_or_expired(now, revision);
       }),
-      calls_(make_calls(make_answers())),
+      calls_(make_calls(make_callbacks())),
       daemon_changes_(io, [this](configuration::ChangeDaemons changes) {
         return propose_daemon_changes(std::move(changes));
       }) {}
@@ -44,39 +44,39 @@
   timer_.cancel();
 }
 
-DatabaseCallAnswers LeaderDuties::make_answers() {
+DatabaseCallAnswers LeaderDuties::make_callbacks() {
   using core::BootClock;
-  DatabaseCallAnswers answers;
-  answers.status = [this](const database::StatusAnswer& status) {
+  DatabaseCallAnswers callbacks;
+  callbacks.status = [this](const database::StatusAnswer& status) {
     coordinator_.on_probe_answer(BootClock::now(), status);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.status_failed = [this](const core::DatabaseId& id) {
+  callbacks.status_failed = [this](const core::DatabaseId& id) {
     coordinator_.on_probe_failed(BootClock::now(), id);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.fenced = [this](const failover::FenceDatabase& call, const database::FenceAnswer& answer) {
+  callbacks.fenced = [this](const failover::FenceDatabase& call, const database::FenceAnswer& answer) {
     coordinator_.on_fence_answer(BootClock::now(), call.group, answer);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.fence_failed = [this](const failover::FenceDatabase& call) {
+  callbacks.fence_failed = [this](const failover::FenceDatabase& call) {
     coordinator_.on_fence_failed(BootClock::now(), call.group, call.database, call.term);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.promoted = [this](const failover::PromoteDatabase& call, const database::PromoteAnswer& answer) {
+  callbacks.promoted = [this](const failover::PromoteDatabase& call, const database::PromoteAnswer& answer) {
     coordinator_.on_promote_answer(BootClock::now(), call.group, answer);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.promote_failed = [this](const failover::PromoteDatabase& call) {
+  callbacks.promote_failed = [this](const failover::PromoteDatabase& call) {
     coordinator_.on_promote_failed(BootClock::now(), call.group, call.database, call.term);
-    carry_out_effects();
+    execute_effects();
   };
-  answers.refused = [this](const core::GroupName& group, const core::DatabaseId& id, core::Term asked,
-                           core::Term newer) {
+  callbacks.refused = [this](const core::GroupName& group, const core::DatabaseId& id, core::Term asked,
+                             core::Term newer) {
     coordinator_.on_refused(BootClock::now(), group, id, asked, newer);
-    carry_out_effects();
+    execute_effects();
   };
-  return answers;
+  return callbacks;
 }
 
 void LeaderDuties::on_leadership(bool leading) {
@@ -90,7 +90,7 @@
   }
   leases_.on_leadership(now, leading);
   coordinator_.on_leadership(now, leading);
-  carry_out_effects();
+  execute_effects();
 }
 
 void LeaderDuties::on_configuration(const protocol::Configuration& configuration) {
@@ -100,7 +100,7 @@
     coordinator_.on_configuration(now, configuration);  // Followers load it when they become the leader.
   }
   std::erase_if(reports_, [&](const auto& report) { return !configuration.daemons.contains(report.first); });
-  carry_out_effects();
+  execute_effects();
 }
 
 protocol::HeartbeatReply LeaderDuties::on_heartbeat(const protocol::Heartbeat& heartbeat) {
@@ -123,7 +123,7 @@
   auto reply = leases_.on_heartbeat(now, heartbeat, replica_.node().has_quorum(now));
   coordinator_.on_suspicions(now, heartbeat.daemon, heartbeat.suspicions);
   drain_leaving_databases(heartbeat);
-  carry_out_effects();
+  execute_effects();
   return reply;
 }
 
@@ -177,7 +177,7 @@
 }
 
 void LeaderDuties::propose(const std::string& subject, configuration::Operation operation) {
-  if (!in_progress_.emplace(subject, true).second) {
+  if (!proposals_in_progress_.emplace(subject, true).second) {
     return;
   }
   configuration::Command command;
@@ -189,10 +189,10 @@
   const auto result = co_await replica_.propose(std::move(command), kProposalTimeout);
   if (result && result.value().error) {
     boost::system::error_code ignored;
-    boost::asio::steady_timer rest(io_, kRefusedRest);
-    co_await rest.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
+    boost::asio::steady_timer backoff(io_, kRejectionBackoff);
+    co_await backoff.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
   }
-  in_progress_.erase(subject);
+  proposals_in_progress_.erase(subject);
 }
 
 void LeaderDuties::schedule_tick() {
@@ -212,9 +212,9 @@
   const core::Instant now = core::BootClock::now();
   coordinator_.tick(now);
   remove_lost_daemons(now);
-  align_controls();
-  hand_over_when_leaving(now);
-  carry_out_effects();
+  reconcile_control_records();
+  transfer_leadership_when_leaving(now);
+  execute_effects();
 }
 
 void LeaderDuties::remove_lost_daemons(core::Instant now) {
@@ -227,7 +227,7 @@
   }
 }
 
-void LeaderDuties::align_controls() {
+void LeaderDuties::reconcile_control_records() {
   const auto& controls = replica_.machine().configuration().controls;
   const raft::Membership& membership = replica_.node().membership();
   for (const raft::Member& member : membership.members) {
@@ -246,19 +246,19 @@
   }
 }
 
-void LeaderDuties::hand_over_when_leaving(core::Instant now) {
+void LeaderDuties::transfer_leadership_when_leaving(core::Instant now) {
   const auto& controls = replica_.machine().configuration().controls;
   const auto self = controls.find(replica_.node().config().id);
-  if (self == controls.end() || !self->second.leaving || now < next_hand_over_) {
+  if (self == controls.end() || !self->second.leaving || now < next_transfer_at_) {
     return;
   }
-  next_hand_over_ = now + kHandOverInterval;
+  next_transfer_at_ = now + kLeadershipTransferInterval;
   (void)replica_.transfer_leadership();
 }
 
-void LeaderDuties::carry_out_effects() {
+void LeaderDuties::execute_effects() {
   for (const failover::Effect& effect : coordinator_.take_effects()) {
-    carry_out(effect);
+    execute(effect);
   }
 }
 
@@ -281,7 +281,7 @@
   }
 }
 
-void LeaderDuties::carry_out(const failover::Effect& effect) {
+void LeaderDuties::execute(const failover::Effect& effect) {
   log_change(effect);
   if (const auto* probe = std::get_if<failover::ProbeDatabase>(&effect)) {
     calls_->probe(*probe);
--- a/src/control/leader_duties.hpp
+++ b/src/control/leader_duties.hpp
@@ -64,17 +64,17 @@
   boost::asio::awaitable<core::Result<configuration::CommandResult>> propose_daemon_changes(
       configuration::ChangeDaemons changes);
   boost::asio::awaitable<void> run_proposal(std::string subject, configuration::Command command);
-  DatabaseCallAnswers make_answers();
+  DatabaseCallAnswers make_callbacks();
   void tick();
   void schedule_tick();
   void admit(const protocol::Heartbeat& heartbeat);
   void drain_leaving_databases(const protocol::Heartbeat& heartbeat);
   void remove_lost_daemons(core::Instant now);
-  void align_controls();
-  void hand_over_when_leaving(core::Instant now);
-  void carry_out_effects();
+  void reconcile_control_records();
+  void transfer_leadership_when_leaving(core::Instant now);
+  void execute_effects();
   void log_change(const failover::Effect& effect) const;
-  void carry_out(const failover::Effect& effect);
+  void execute(const failover::Effect& effect);
 
   boost::asio::io_context& io_;
   boost::asio::steady_timer timer_;
@@ -85,9 +85,9 @@
   DaemonChanges daemon_changes_;
   bool running_ = false;
   bool leading_ = false;
-  core::Instant next_hand_over_{};
+  core::Instant next_transfer_at_{};
   std::map<core::DaemonId, DaemonReport> reports_;
-  std::map<std::string, bool> in_progress_;
+  std::map<std::string, bool> proposals_in_progress_;
 };
 
 }  // namespace pipitpond::control
--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 std::string render_metrics(const Replica& replica, const LeaderDuties& duties, const DaemonService& daemons,
-                           const EdgeCounters& edges) {
+                           const IoCounters& io) {
   const raft::Node& node = replica.node();
   const protocol::Configuration& configuration = replica.machine().configuration();
   // The components hold the counters; this temporary registry only formats them.
@@ -39,7 +39,7 @@
   }
   registry.gauge("pipitpond_control_daemons", "Admitted daemons.").set(number(configuration.daemons.size()));
   registry.gauge("pipitpond_control_disk_full", "1 while the replica waits for room on its disk.")
-      .set(replica.without_room() ? 1 : 0);
+      .set(replica.disk_full() ? 1 : 0);
   registry.counter("pipitpond_control_syncs_total", "Log syncs.").increment(number(replica.syncs()));
   registry.counter("pipitpond_control_heartbeats_total", "Heartbeats answered.")
       .increment(number(daemons.heartbeats()));
@@ -50,11 +50,11 @@
   registry.counter("pipitpond_control_wire_messages_total", "Messages received over the internal protocol.")
       .increment(number(daemons.messages()));
   registry.counter("pipitpond_control_wire_bytes_received_total", "Bytes received over it.")
-      .increment(number(edges.wire_bytes_received));
+      .increment(number(io.wire_bytes_received));
   registry.counter("pipitpond_control_wire_bytes_sent_total", "Bytes sent over it.")
-      .increment(number(edges.wire_bytes_sent));
+      .increment(number(io.wire_bytes_sent));
   registry.counter("pipitpond_control_log_bytes_written_total", "Bytes of log and snapshots written.")
-      .increment(number(edges.log_bytes_written));
+      .increment(number(io.log_bytes_written));
   return registry.text();
 }
 
--- a/src/control/metrics.hpp
+++ b/src/control/metrics.hpp
@@ -12,14 +12,14 @@
 namespace pipitpond::control {
 
 /// Network and disk traffic since the process started.
-struct EdgeCounters {
+struct IoCounters {
   std::uint64_t wire_bytes_received = 0;  ///< Internal protocol, including frame headers.
   std::uint64_t wire_bytes_sent = 0;
   std::uint64_t log_bytes_written = 0;  ///< Raft log frames and snapshots.
 };
 
-/// Body of GET /metrics.
+/// Renders the body of GET /metrics.
 std::string render_metrics(const Replica& replica, const LeaderDuties& duties, const DaemonService& daemons,
-                           const EdgeCounters& edges);
+                           const IoCounters& io);
 
 }  // namespace pipitpond::control
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -58,7 +58,7 @@
 
 /// Returns true if the request may succeed with another leader or a little later. A retry is safe even if the
 /// outcome of the first attempt is unknown: changes carry idempotency keys and reads have no side effects.
-bool worth_another_attempt(const OperatorReply& reply) {
+bool is_retryable(const OperatorReply& reply) {
   const auto kind = error_kind_of(reply);
   return kind && (*kind == core::ErrorKind::kNotLeader || *kind == core::ErrorKind::kLeaving ||
                   *kind == core::ErrorKind::kTimeout || *kind == core::ErrorKind::kConnectionLost ||
@@ -87,13 +87,13 @@
 
 /// Returns what follows `prefix` in `path`, such as NAME in "/v1/groups/NAME" after "/v1/groups/". Empty if
 /// the path has another prefix.
-std::string name_after(const std::string& path, const std::string& prefix) {
+std::string suffix_after(const std::string& path, const std::string& prefix) {
   return path.starts_with(prefix) ? path.substr(prefix.size()) : std::string();
 }
 
 /// Replies with the element `name` of a map, or with kNotFound.
 template <typename Map, typename Name>
-OperatorReply one(const Map& map, const Name& name, const std::string& what) {
+OperatorReply element_reply(const Map& map, const Name& name, const std::string& what) {
   const auto found = map.find(name);
   if (found == map.end()) {
     return error_reply(
@@ -135,13 +135,13 @@
       timeouts_(timeouts) {}
 
 awaitable<OperatorReply> OperatorApi::handle(OperatorRequest request) {
-  if (auto known = answer_known_database(request)) {
+  if (auto known = answer_unchanged_database(request)) {
     co_return std::move(*known);
   }
-  const core::Instant give_up = core::BootClock::now() + timeouts_.leader_change;
+  const core::Instant deadline = core::BootClock::now() + timeouts_.leader_change;
   while (true) {
-    OperatorReply reply = co_await attempt(request);
-    if (!worth_another_attempt(reply) || core::BootClock::now() >= give_up) {
+    OperatorReply reply = co_await handle_once(request);
+    if (!is_retryable(reply) || core::BootClock::now() >= deadline) {
       if (reply.status == kOk && is_database_notice(request)) {
         co_return database_reply();  // Not the leader's reply, whose `next` is the leader.
       }
@@ -153,7 +153,7 @@
   }
 }
 
-awaitable<OperatorReply> OperatorApi::attempt(OperatorRequest request) {
+awaitable<OperatorReply> OperatorApi::handle_once(OperatorRequest request) {
   if (replica_.leading()) {
     co_return co_await handle_as_leader(std::move(request));
   }
@@ -192,10 +192,10 @@
   if (!current) {
     co_return error_reply(current.error());
   }
-  co_return read(path);
+  co_return read_resource(path);
 }
 
-OperatorReply OperatorApi::read(const std::string& path) const {
+OperatorReply OperatorApi::read_resource(const std::string& path) const {
   const protocol::Configuration& configuration = replica_.machine().configuration();
   if (path == "/v1/configuration") {
     return ok(to_json(configuration));
@@ -212,14 +212,14 @@
   if (path == "/v1/policies") {
     return ok({{"policies", list_json(configuration.policies)}});
   }
-  if (const auto name = name_after(path, "/v1/groups/"); !name.empty()) {
-    return one(configuration.groups, core::GroupName(name), "group");
+  if (const auto name = suffix_after(path, "/v1/groups/"); !name.empty()) {
+    return element_reply(configuration.groups, core::GroupName(name), "group");
   }
-  if (const auto name = name_after(path, "/v1/zones/"); !name.empty()) {
-    return one(configuration.zones, core::ZoneName(name), "zone");
+  if (const auto name = suffix_after(path, "/v1/zones/"); !name.empty()) {
+    return element_reply(configuration.zones, core::ZoneName(name), "zone");
   }
-  if (const auto name = name_after(path, "/v1/policies/"); !name.empty()) {
-    return one(configuration.policies, core::PolicyName(name), "policy");
+  if (const auto name = suffix_after(path, "/v1/policies/"); !name.empty()) {
+    return element_reply(configuration.policies, core::PolicyName(name), "policy");
   }
   return error_reply(no_such_path(OperatorRequest{"GET", path, {}, {}}));
 }
@@ -228,14 +228,14 @@
   if (request.path == "/v1/routes") {
     co_return co_await put_routes(std::move(request));
   }
-  if (const auto name = name_after(request.path, "/v1/groups/"); !name.empty()) {
-    co_return co_await change(parse_put_group(core::GroupName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/groups/"); !name.empty()) {
+    co_return co_await propose_change(parse_put_group(core::GroupName(name), request.body));
   }
-  if (const auto name = name_after(request.path, "/v1/zones/"); !name.empty()) {
-    co_return co_await change(parse_put_zone(core::ZoneName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/zones/"); !name.empty()) {
+    co_return co_await propose_change(parse_put_zone(core::ZoneName(name), request.body));
   }
-  if (const auto name = name_after(request.path, "/v1/policies/"); !name.empty()) {
-    co_return co_await change(parse_policy(core::PolicyName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/policies/"); !name.empty()) {
+    co_return co_await propose_change(parse_policy(core::PolicyName(name), request.body));
   }
   co_return error_reply(no_such_path(request));
 }
@@ -255,17 +255,17 @@
 }
 
 awaitable<OperatorReply> OperatorApi::handle_post(OperatorRequest request) {
-  if (!name_after(request.path, kDatabasesPath).empty()) {
-    co_return co_await change_database(std::move(request));
+  if (!suffix_after(request.path, kDatabasesPath).empty()) {
+    co_return co_await handle_database_notice(std::move(request));
   }
   if (request.path == "/v1/drain") {
-    co_return co_await change(parse_drain(request.body));
+    co_return co_await propose_change(parse_drain(request.body));
   }
   if (request.path == "/v1/members") {
     co_return co_await change_members(parse_member(request.body));
   }
   if (request.path == "/v1/policies/check") {
-    co_return check(parse_policy_check(request.body));
+    co_return check_policy_source(parse_policy_check(request.body));
   }
   co_return error_reply(no_such_path(request));
 }
@@ -279,7 +279,7 @@
   }
   configuration::Command command;
   command.operation = std::move(put.value());
-  co_return co_await change(std::move(command));
+  co_return co_await propose_change(std::move(command));
 }
 
 awaitable<OperatorReply> OperatorApi::read_routes() {
@@ -294,7 +294,7 @@
   co_return OperatorReply{200, replica_.machine().route_document()};
 }
 
-awaitable<OperatorReply> OperatorApi::change_database(OperatorRequest request) {
+awaitable<OperatorReply> OperatorApi::handle_database_notice(OperatorRequest request) {
   auto command = parse_database_notice(request.path.substr(kDatabasesPath.size()), request.body);
   if (!command) {
     co_return error_reply(command.error());
@@ -311,7 +311,7 @@
 
 /// Replies without the leader to a notice that changes nothing, as most do. Returns nothing for any other
 /// request.
-std::optional<OperatorReply> OperatorApi::answer_known_database(const OperatorRequest& request) const {
+std::optional<OperatorReply> OperatorApi::answer_unchanged_database(const OperatorRequest& request) const {
   if (!is_database_notice(request)) {
     return std::nullopt;
   }
@@ -341,7 +341,7 @@
   return ok(body);
 }
 
-OperatorReply OperatorApi::check(const core::Result<std::string>& source) {
+OperatorReply OperatorApi::check_policy_source(const core::Result<std::string>& source) {
   if (!source) {
     return error_reply(source.error());
   }
@@ -352,7 +352,7 @@
   return ok({{"valid", true}});
 }
 
-awaitable<OperatorReply> OperatorApi::change(core::Result<configuration::Command> command) {
+awaitable<OperatorReply> OperatorApi::propose_change(core::Result<configuration::Command> command) {
   if (!command) {
     co_return error_reply(command.error());
   }
--- a/src/control/operator_api.hpp
+++ b/src/control/operator_api.hpp
@@ -50,19 +50,20 @@
  private:
   using Reply = protocol::OperatorReply;
 
-  boost::asio::awaitable<Reply> attempt(protocol::OperatorRequest request);
+  boost::asio::awaitable<Reply> handle_once(protocol::OperatorRequest request);
   boost::asio::awaitable<Reply> handle_get(std::string path);
   boost::asio::awaitable<Reply> handle_put(protocol::OperatorRequest request);
   boost::asio::awaitable<Reply> handle_post(protocol::OperatorRequest request);
-  boost::asio::awaitable<Reply> change(core::Result<configuration::Command> command);
+  boost::asio::awaitable<Reply> propose_change(core::Result<configuration::Command> command);
   boost::asio::awaitable<Reply> change_members(core::Result<MemberRequest> request);
   boost::asio::awaitable<Reply> put_routes(protocol::OperatorRequest request);
   boost::asio::awaitable<Reply> read_routes();
-  boost::asio::awaitable<Reply> change_database(protocol::OperatorRequest request);
-  [[nodiscard]] std::optional<Reply> answer_known_database(const protocol::OperatorRequest& request) const;
+  boost::asio::awaitable<Reply> handle_database_notice(protocol::OperatorRequest request);
+  [[nodiscard]] std::optional<Reply> answer_unchanged_database(
+      const protocol::OperatorRequest& request) const;
   [[nodiscard]] Reply database_reply() const;
-  Reply check(const core::Result<std::string>& source);
-  [[nodiscard]] Reply read(const std::string& path) const;
+  Reply check_policy_source(const core::Result<std::string>& source);
+  [[nodiscard]] Reply read_resource(const std::string& path) const;
   [[nodiscard]] core::Result<configuration::Command> parse_policy(const core::PolicyName& name,
                                                                   const std::string& body) const;
 
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -23,7 +23,7 @@
   database.connection_limit = static_cast<std::uint32_t>(fields.number("connection_limit", kMaxConnections));
   database.slots = static_cast<std::uint32_t>(fields.number("slots", kMaxSlots));
   fields.boolean_or("draining", false);  // Accepted because GET shows it; only POST /v1/drain changes it.
-  fields.no_others();
+  fields.reject_unknown_fields();
   return database;
 }
 
@@ -32,26 +32,26 @@
   configuration::PutGroup put;
   put.name = name;
   put.policy = core::PolicyName(fields.text_or("policy", ""));
-  std::size_t number = 0;
+  std::size_t index = 0;
   for (const json& database : fields.array("databases")) {
-    put.databases.push_back(read_database(database, "spec.databases[" + std::to_string(number) + "]"));
-    ++number;
+    put.databases.push_back(read_database(database, "spec.databases[" + std::to_string(index) + "]"));
+    ++index;
   }
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
 configuration::PutZone read_zone_spec(const core::ZoneName& name, const json& spec) {
   JsonFields fields(spec, "spec");
   configuration::PutZone put{name, core::RegionName(fields.text("region"))};
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
 configuration::PutPolicy read_policy_spec(const core::PolicyName& name, const json& spec) {
   JsonFields fields(spec, "spec");
   configuration::PutPolicy put{name, fields.text("source")};
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
@@ -72,7 +72,7 @@
     command.key = read_key(fields);
     command.expected_revision = fields.number("revision", kMaxRevision);
     command.operation = read_spec(fields.object("spec"));
-    fields.no_others();
+    fields.reject_unknown_fields();
     return command;
   });
 }
@@ -123,7 +123,7 @@
     const std::string kind = fields.text("kind");
     const std::string name = fields.text("name");
     command.operation = drain_operation(kind, name, fields.boolean_or("leaving", true));
-    fields.no_others();
+    fields.reject_unknown_fields();
     return command;
   });
 }
@@ -132,7 +132,7 @@
   return parse_fields(body, [](const json& value) {
     JsonFields fields(value, "body");
     std::string source = fields.text("source");
-    fields.no_others();
+    fields.reject_unknown_fields();
     return source;
   });
 }
@@ -156,7 +156,7 @@
       }
       request.member.replaces = core::ControlId(fields.text_or("replaces", ""));
     }
-    fields.no_others();
+    fields.reject_unknown_fields();
     return request;
   });
 }
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -7,10 +7,10 @@
 namespace pipitpond::control {
 namespace {
 
-constexpr settings::Range kMillis{1, 60'000};
-constexpr settings::Range kToleratedLosses{1, 4};
-/// The minimum allows for daemons that renew their leases twice a second.
-constexpr settings::Range kLeaseMillis{1'200, 60'000};
+constexpr settings::Range kDurationRangeMs{1, 60'000};
+constexpr settings::Range kToleratedLossesRange{1, 4};
+/// Daemons renew their leases twice a second, so the minimum must leave time for two renewals.
+constexpr settings::Range kLeaseRangeMs{1'200, 60'000};
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   section_.boolean(
       "cluster.bootstrap", options_.bootstrap,
       "Bootstrap a new cluster if the data folder is empty; for the first start of a new fleet only");
-  section_.integer("cluster.tolerated_losses", options_.tolerated_losses, kToleratedLosses,
+  section_.integer("cluster.tolerated_losses", options_.tolerated_losses, kToleratedLossesRange,
                    "Control disks that may be lost at once; silent replicas are removed only while the "
                    "remaining ones can tolerate that");
   section_
@@ -61,25 +61,25 @@
       "IP addresses; seeds bootstrap the cluster, all others join it automatically");
   section_.endpoint("platform.endpoint", platform_,
                     "Address of the platform's list of machines; omit if there is none");
-  section_.duration("platform.interval_ms", options_.platform_interval, kMillis,
+  section_.duration("platform.interval_ms", options_.platform_interval, kDurationRangeMs,
                     "Interval at which the list is read");
-  section_.duration("raft.heartbeat_ms", options_.heartbeat_interval, kMillis,
+  section_.duration("raft.heartbeat_ms", options_.heartbeat_interval, kDurationRangeMs,
                     "Interval of the leader's heartbeats");
-  section_.duration("raft.election_min_ms", options_.election_timeout_min, kMillis,
+  section_.duration("raft.election_min_ms", options_.election_timeout_min, kDurationRangeMs,
                     "Minimum time without a leader before an election");
-  section_.duration("raft.election_max_ms", options_.election_timeout_max, kMillis,
+  section_.duration("raft.election_max_ms", options_.election_timeout_max, kDurationRangeMs,
                     "Maximum time without a leader before an election");
-  section_.duration("database.fence_timeout_ms", options_.database_calls.fence, kMillis,
+  section_.duration("database.fence_timeout_ms", options_.database_calls.fence, kDurationRangeMs,
                     "Timeout of a call that fences a database");
-  section_.duration("database.promote_timeout_ms", options_.database_calls.promote, kMillis,
+  section_.duration("database.promote_timeout_ms", options_.database_calls.promote, kDurationRangeMs,
                     "Timeout of a call that promotes a database to primary");
-  section_.duration("lease.duration_ms", options_.daemon_lease, kLeaseMillis,
+  section_.duration("lease.duration_ms", options_.daemon_lease, kLeaseRangeMs,
                     "Duration of a daemon's lease; the same on all control machines");
   section_.check([this] { return check(); });
 }
 
 /// Seeds name only HTTP addresses: all control machines use the same internal port.
-void ControlSettings::take_seeds() {
+void ControlSettings::apply_seeds() {
   options_.open_membership = true;
   options_.peers.clear();
   for (const core::Endpoint& seed : seeds_) {
@@ -101,7 +101,7 @@
     options_.peers.push_back(*peer);
   }
   if (!seeds_.empty()) {
-    take_seeds();
+    apply_seeds();
     options_.platform = platform_.port == 0 ? std::nullopt : std::optional(platform_);
     return std::nullopt;
   }
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -69,7 +69,7 @@
 
   settings::Section section_;
   ControlOptions options_;
-  void take_seeds();
+  void apply_seeds();
 
   std::vector<std::string> peer_texts_;
   std::vector<core::Endpoint> seeds_;
--- a/src/control/platform_watch.cpp
+++ b/src/control/platform_watch.cpp
@@ -50,10 +50,11 @@
 }
 
 std::optional<configuration::Operation> operation_for(const protocol::Configuration& configuration,
-                                                      const Machine& machine, std::optional<bool> before) {
-  const bool returned = before && *before && !machine.leaving;
-  const bool went = machine.leaving && !before.value_or(false);
-  if (!returned && !went) {
+                                                      const Machine& machine,
+                                                      std::optional<bool> was_leaving) {
+  const bool stopped_leaving = was_leaving && *was_leaving && !machine.leaving;
+  const bool started_leaving = machine.leaving && !was_leaving.value_or(false);
+  if (!stopped_leaving && !started_leaving) {
     return std::nullopt;
   }
   if (machine.kind == "database") {
@@ -105,15 +106,15 @@
 awaitable<void> PlatformWatch::run() {
   while (running_) {
     if (replica_.leading()) {
-      const auto machines = co_await read();
+      const auto machines = co_await fetch_machines();
       if (machines) {
-        take_in(machines.value());
+        apply_changes(machines.value());
       } else {
         ++failures_;
         client_.reset();
       }
     } else {
-      leaving_before_.clear();
+      previously_leaving_.clear();
     }
     boost::system::error_code ignored;
     timer_.expires_after(interval_);
@@ -121,7 +122,7 @@
   }
 }
 
-awaitable<core::Result<std::vector<Machine>>> PlatformWatch::read() {
+awaitable<core::Result<std::vector<Machine>>> PlatformWatch::fetch_machines() {
   if (!client_ || !client_->is_open()) {
     auto connected = co_await http::Client::connect(io_, platform_, kCallTimeout);
     if (!connected) {
@@ -138,18 +139,18 @@
   co_return parse_machines(response.value().body);
 }
 
-void PlatformWatch::take_in(const std::vector<Machine>& machines) {
+void PlatformWatch::apply_changes(const std::vector<Machine>& machines) {
   if (!replica_.leading()) {
     return;
   }
   for (const Machine& machine : machines) {
     const std::string subject = machine.kind + " " + machine.name;
-    const auto found = leaving_before_.find(subject);
-    const auto before = found == leaving_before_.end() ? std::nullopt : std::optional(found->second);
-    if (auto operation = operation_for(replica_.machine().configuration(), machine, before)) {
+    const auto found = previously_leaving_.find(subject);
+    const auto was_leaving = found == previously_leaving_.end() ? std::nullopt : std::optional(found->second);
+    if (auto operation = operation_for(replica_.machine().configuration(), machine, was_leaving)) {
       duties_.propose("platform " + subject, std::move(*operation));
     }
-    leaving_before_[subject] = machine.leaving;
+    previously_leaving_[subject] = machine.leaving;
   }
 }
 
--- a/src/control/platform_watch.hpp
+++ b/src/control/platform_watch.hpp
@@ -32,9 +32,10 @@
 core::Result<std::vector<Machine>> parse_machines(const std::string& body);
 
 /// Returns the operation for a machine whose entry has changed, or nothing if the configuration needs no
-/// change. `before` tells whether the last list had the machine as leaving; empty if it was not listed.
+/// change. `was_leaving` tells whether the last list had the machine as leaving; empty if it was not listed.
 std::optional<configuration::Operation> operation_for(const protocol::Configuration& configuration,
-                                                      const Machine& machine, std::optional<bool> before);
+                                                      const Machine& machine,
+                                                      std::optional<bool> was_leaving);
 
 /// Polls the platform's list at a fixed interval.
 class PlatformWatch {
@@ -49,8 +50,8 @@
 
  private:
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<core::Result<std::vector<Machine>>> read();
-  void take_in(const std::vector<Machine>& machines);
+  boost::asio::awaitable<core::Result<std::vector<Machine>>> fetch_machines();
+  void apply_changes(const std::vector<Machine>& machines);
 
   boost::asio::io_context& io_;
   boost::asio::steady_timer timer_;
@@ -60,7 +61,7 @@
   LeaderDuties& duties_;
   bool running_ = false;
   std::unique_ptr<http::Client> client_;
-  std::map<std::string, bool> leaving_before_;  ///< State in the last list, by kind and name.
+  std::map<std::string, bool> previously_leaving_;  ///< State in the last list, by kind and name.
   std::uint64_t failures_ = 0;
 };
 
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -20,7 +20,7 @@
 /// part again as soon as there is space. A failed attempt costs one system call.
 constexpr core::Duration kFullDiskRetry = std::chrono::milliseconds(100);
 
-core::Error no_room() {
+core::Error disk_full_error() {
   return core::Error{core::ErrorKind::kUnavailable, "The disk of this control replica is full.",
                      "Ask another control replica, and free space in this one's data folder.", 500};
 }
@@ -30,7 +30,7 @@
                      "Ask the leader, or retry in a moment.", 200};
 }
 
-core::Error unknown_fate() {
+core::Error unknown_outcome() {
   return core::Error{core::ErrorKind::kTimeout, "The change was not confirmed: it may or may not be applied.",
                      "Send it again with the same key to any control replica: it applies once.", 500};
 }
@@ -51,67 +51,67 @@
 }
 
 void Replica::start() {
-  if (broken_) {
-    events_.failed(*broken_);
+  if (restore_error_) {
+    events_.failed(*restore_error_);
     return;
   }
   running_ = true;
-  told_revision_ = machine_.configuration().revision;
+  notified_revision_ = machine_.configuration().revision;
   events_.configuration_changed(machine_.configuration());
-  schedule_work();
+  schedule_processing();
 }
 
 void Replica::stop() {
   running_ = false;
   timer_.cancel();
-  note_leadership_loss();
+  detect_leadership_loss();
 }
 
 void Replica::receive(raft::Message message) {
-  if (without_room()) {
+  if (disk_full()) {
     return;  // A reply would acknowledge state that can't be persisted. Raft tolerates lost messages.
   }
   node_.step(core::BootClock::now(), std::move(message));
-  schedule_work();
+  schedule_processing();
 }
 
 boost::asio::awaitable<core::Result<configuration::CommandResult>> Replica::propose(
     configuration::Command command, core::Duration timeout) {
-  if (without_room()) {
-    co_return no_room();
+  if (disk_full()) {
+    co_return disk_full_error();
   }
   const auto position = node_.propose(core::BootClock::now(), wire::pack(command));
   if (!position) {
     co_return position.error();
   }
-  auto done = std::make_shared<ProposalDone>(io_);
+  auto completion = std::make_shared<ProposalCompletion>(io_);
   const raft::Index index = position.value().index;
-  proposals_[index] = Proposal{position.value().term, done};
-  schedule_work();
-  auto result = co_await ProposalDone::wait(done, timeout);
+  proposals_[index] = Proposal{position.value().term, completion};
+  schedule_processing();
+  auto result = co_await ProposalCompletion::wait(completion, timeout);
   if (!result) {
     const auto found = proposals_.find(index);
-    if (found != proposals_.end() && found->second.done == done) {
+    if (found != proposals_.end() && found->second.completion == completion) {
       proposals_.erase(found);
     }
-    co_return unknown_fate();
+    co_return unknown_outcome();
   }
   co_return std::move(*result);
 }
 
 boost::asio::awaitable<core::Result<void>> Replica::read_barrier(core::Duration timeout) {
-  if (without_room()) {
-    co_return no_room();
+  if (disk_full()) {
+    co_return disk_full_error();
   }
-  const raft::ReadToken token = next_read_++;
+  const raft::ReadToken token = next_read_token_++;
   const auto asked = node_.read_index(core::BootClock::now(), token);
   if (!asked) {
     co_return asked.error();
   }
-  auto done = std::make_shared<ReadDone>(io_);
-  reads_[token] = done;
-  schedule_work();
-  auto result = co_await ReadDone::wait(done, timeout);
+  auto completion = std::make_shared<ReadCompletion>(io_);
+  reads_[token] = completion;
+  schedule_processing();
+  auto result = co_await ReadCompletion::wait(completion, timeout);
   reads_.erase(token);
   if (!result) {
     co_return core::fail(core::ErrorKind::kTimeout, "No majority of the control replicas answered in time.",
@@ -121,62 +121,62 @@
 }
 
 core::Result<void> Replica::change_membership(const raft::MembershipChange& change) {
-  if (without_room()) {
-    return no_room();
+  if (disk_full()) {
+    return disk_full_error();
   }
   const auto position = node_.propose_membership(core::BootClock::now(), change);
   if (!position) {
     return position.error();
   }
-  schedule_work();
+  schedule_processing();
   return core::outcome::success();
 }
 
 core::Result<void> Replica::transfer_leadership() {
-  if (without_room()) {
-    return no_room();
+  if (disk_full()) {
+    return disk_full_error();
   }
   auto result = node_.transfer_leadership(core::BootClock::now());
-  schedule_work();
+  schedule_processing();
   return result;
 }
 
-void Replica::schedule_work() {
-  if (work_scheduled_ || !running_) {
+void Replica::schedule_processing() {
+  if (processing_scheduled_ || !running_) {
     return;
   }
-  work_scheduled_ = true;
+  processing_scheduled_ = true;
   boost::asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
-      work();
+      process();
     }
   });
 }
 
-void Replica::work() {
-  work_scheduled_ = false;
+void Replica::process() {
+  processing_scheduled_ = false;
   if (!running_) {
     return;
   }
-  if (!carry_out_what_waited()) {
+  if (!retry_unpersisted_ready()) {
     return;
   }
   if (core::BootClock::now() >= node_.next_timer()) {
     node_.tick(core::BootClock::now());
   }
   while (node_.has_ready()) {
-    if (!carry_out(node_.take_ready())) {
+    if (!process_ready(node_.take_ready())) {
       return;
     }
   }
-  note_leadership_loss();
-  note_leadership_gain();
-  note_candidacy();
-  if (machine_.configuration().revision != told_revision_) {
-    told_revision_ = machine_.configuration().revision;
+  detect_leadership_loss();
+  detect_leadership_gain();
+  log_new_candidacy();
+  if (machine_.configuration().revision != notified_revision_) {
+    notified_revision_ = machine_.configuration().revision;
     events_.configuration_changed(machine_.configuration());
   }
-  compact_if_long();
+  compact_if_needed();
   set_timer();
 }
 
@@ -187,7 +187,7 @@
     return true;
   }
   if (persisted.error().kind == core::ErrorKind::kNoCapacity) {
-    wait_for_room(ready, persisted.error());
+    defer_ready(ready, persisted.error());
   } else {
     running_ = false;
     events_.failed(persisted.error());
@@ -199,28 +199,28 @@
 // full (5 times for a disk that was full for 3.8 s, on a fleet of 29 machines). Waiting is as safe as a
 // stalled disk: no message that depends on the Ready is sent and none is received, so that the replica loses
 // its quorum and the leases that it granted expire.
-void Replica::wait_for_room(raft::Ready ready, const core::Error& error) {
-  if (!without_room()) {
+void Replica::defer_ready(raft::Ready ready, const core::Error& error) {
+  if (!disk_full()) {
     logging::logger("control")->error("event=disk_full leading={} {}", leading_, core::describe(error));
   }
-  waiting_for_room_ = std::move(ready);
-  note_leadership_loss();
+  unpersisted_ready_ = std::move(ready);
+  detect_leadership_loss();
   set_timer(kFullDiskRetry);
 }
 
-bool Replica::carry_out_what_waited() {
-  if (!without_room()) {
+bool Replica::retry_unpersisted_ready() {
+  if (!disk_full()) {
     return true;
   }
-  return carry_out(std::move(*waiting_for_room_));
+  return process_ready(std::move(*unpersisted_ready_));
 }
 
-bool Replica::carry_out(raft::Ready ready) {
+bool Replica::process_ready(raft::Ready ready) {
   if (!persist(ready)) {
     return false;
   }
-  if (without_room()) {
-    waiting_for_room_.reset();
+  if (disk_full()) {
+    unpersisted_ready_.reset();
     logging::logger("control")->info("event=disk_has_room_again");
   }
   for (const raft::Message& message : ready.messages) {
@@ -230,12 +230,12 @@
     log_decision(decision);
   }
   // Before entries of a later leader are applied, so that this replica takes no decision as a deposed leader.
-  note_leadership_loss();
+  detect_leadership_loss();
   if (ready.restore && ready.snapshot) {
     restore(*ready.snapshot);
-    if (broken_) {
+    if (restore_error_) {
       running_ = false;
-      events_.failed(*broken_);
+      events_.failed(*restore_error_);
       return false;
     }
   }
@@ -293,10 +293,10 @@
   const Proposal proposal = found->second;
   proposals_.erase(found);
   if (proposal.term == entry.term) {
-    proposal.done->deliver(result);
+    proposal.completion->deliver(result);
   } else {
     // Another entry was committed at this index, so that this command can no longer be.
-    proposal.done->deliver(core::outcome::failure(not_leader()));
+    proposal.completion->deliver(core::outcome::failure(not_leader()));
   }
 }
 
@@ -306,31 +306,31 @@
   applied_bytes_ = 0;
   snapshot_bytes_ = snapshot.state.size();
   if (!restored) {
-    broken_ = restored.error();
+    restore_error_ = restored.error();
   }
 }
 
-void Replica::note_leadership_loss() {
-  const bool leads = running_ && !without_room() && node_.role() == raft::Role::kLeader;
+void Replica::detect_leadership_loss() {
+  const bool leads = running_ && !disk_full() && node_.role() == raft::Role::kLeader;
   if (leads) {
     return;
   }
-  fail_pending(unknown_fate());
+  fail_pending(unknown_outcome());
   if (leading_) {
     leading_ = false;
     events_.leadership_changed(false);
   }
 }
 
-void Replica::note_candidacy() {
-  if (node_.candidacies() == told_candidacies_) {
+void Replica::log_new_candidacy() {
+  if (node_.candidacies() == logged_candidacies_) {
     return;
   }
-  told_candidacies_ = node_.candidacies();
+  logged_candidacies_ = node_.candidacies();
   log_candidacy(node_);
 }
 
-void Replica::note_leadership_gain() {
+void Replica::detect_leadership_gain() {
   const bool gained = !leading_ && node_.role() == raft::Role::kLeader && node_.leads_with_committed_term();
   if (!gained) {
     return;
@@ -342,7 +342,7 @@
 void Replica::fail_pending(const core::Error& error) {
   const auto proposals = std::exchange(proposals_, {});
   for (const auto& [index, proposal] : proposals) {
-    proposal.done->deliver(core::outcome::failure(error));
+    proposal.completion->deliver(core::outcome::failure(error));
   }
   const auto reads = std::exchange(reads_, {});
   for (const auto& [token, read] : reads) {
@@ -350,30 +350,30 @@
   }
 }
 
-void Replica::compact_if_long() {
+void Replica::compact_if_needed() {
   const raft::Index applied = node_.applied_index();
-  const bool many = applied >= node_.log().first_index() + kCompactAfterEntries;
+  const bool too_many_entries = applied >= node_.log().first_index() + kCompactAfterEntries;
   // A large state is not written again until the changes since the last snapshot have reached its size.
-  const bool long_log = applied_bytes_ >= std::max(kCompactAfterBytes, snapshot_bytes_);
-  if (!many && !long_log) {
+  const bool too_many_bytes = applied_bytes_ >= std::max(kCompactAfterBytes, snapshot_bytes_);
+  if (!too_many_entries && !too_many_bytes) {
     return;
   }
   std::string state = machine_.snapshot();
   applied_bytes_ = 0;
   snapshot_bytes_ = state.size();
   node_.compact(applied, std::move(state));
-  schedule_work();
+  schedule_processing();
 }
 
 void Replica::set_timer() {
   set_timer(node_.next_timer() - core::BootClock::now());
 }
 
-void Replica::set_timer(core::Duration left) {
-  timer_.expires_after(std::max(left, core::Duration::zero()));
+void Replica::set_timer(core::Duration delay) {
+  timer_.expires_after(std::max(delay, core::Duration::zero()));
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](const boost::system::error_code& error) {
     if (!error && !alive.expired()) {
-      schedule_work();
+      schedule_processing();
     }
   });
 }
--- a/src/control/replica.hpp
+++ b/src/control/replica.hpp
@@ -39,7 +39,7 @@
   std::function<void(const core::Error&)> failed;
 };
 
-/// One control replica.
+/// A control replica: a Raft member with its copy of the configuration.
 class Replica {
  public:
   Replica(boost::asio::io_context& io, raft::Config config, raft::PersistedState persisted,
@@ -47,12 +47,12 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  /// Starts processing.
+  /// Starts the timers and reports the loaded configuration.
   void start();
   /// Stops processing. Proposals in progress fail with kTimeout and reads with kNotLeader.
   void stop();
 
-  /// Processes a message from another replica.
+  /// Passes a message from another replica to the node. Drops it while the disk is full.
   void receive(raft::Message message);
 
   /// Proposes a command and waits until it is applied. Fails with kNotLeader, kLeaving, kOverloaded or
@@ -73,40 +73,40 @@
   [[nodiscard]] const configuration::StateMachine& machine() const { return machine_; }
   /// True while the disk is full. The replica then neither votes nor leads nor accepts messages and
   /// proposals.
-  [[nodiscard]] bool without_room() const { return waiting_for_room_.has_value(); }
+  [[nodiscard]] bool disk_full() const { return unpersisted_ready_.has_value(); }
   /// Disk syncs since the process started.
   [[nodiscard]] std::uint64_t syncs() const { return syncs_; }
 
  private:
-  using ProposalDone = OneShot<core::Result<configuration::CommandResult>>;
-  using ReadDone = OneShot<core::Result<void>>;
+  using ProposalCompletion = OneShot<core::Result<configuration::CommandResult>>;
+  using ReadCompletion = OneShot<core::Result<void>>;
 
   struct Proposal {
     raft::Term term = 0;
-    std::shared_ptr<ProposalDone> done;
+    std::shared_ptr<ProposalCompletion> completion;
   };
 
-  void schedule_work();
-  void work();
+  void schedule_processing();
+  void process();
   /// Persists, sends and applies a Ready. Returns false if processing must stop for now.
-  bool carry_out(raft::Ready ready);
+  bool process_ready(raft::Ready ready);
   bool persist(const raft::Ready& ready);
-  void wait_for_room(raft::Ready ready, const core::Error& error);
+  void defer_ready(raft::Ready ready, const core::Error& error);
   /// Retries the Ready that did not fit on the disk. Returns true if it is processed now or if there was
   /// none.
-  bool carry_out_what_waited();
+  bool retry_unpersisted_ready();
   void apply(const raft::Entry& entry);
   void restore(const raft::Snapshot& snapshot);
-  void note_leadership_loss();
-  void note_leadership_gain();
-  void note_candidacy();
+  void detect_leadership_loss();
+  void detect_leadership_gain();
+  void log_new_candidacy();
   void finish_proposal(const raft::Entry& entry, const configuration::CommandResult& result);
   void finish_confirmed_reads();
   void finish_read(raft::ReadToken token, core::Result<void> result);
   void fail_pending(const core::Error& error);
-  void compact_if_long();
+  void compact_if_needed();
   void set_timer();
-  void set_timer(core::Duration left);
+  void set_timer(core::Duration delay);
 
   boost::asio::io_context& io_;
   boost::asio::steady_timer timer_;
@@ -119,22 +119,20 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   bool running_ = false;
   bool leading_ = false;
-  bool work_scheduled_ = false;
-  std::optional<core::Error> broken_;  ///< Why a snapshot could not be loaded.
+  bool processing_scheduled_ = false;
+  std::optional<core::Error> restore_error_;  ///< Why a snapshot could not be loaded.
   /// A Ready that did not fit on the full disk. Its messages are sent only after it is durable.
-  std::optional<raft::Ready> waiting_for_room_;
+  std::optional<raft::Ready> unpersisted_ready_;
   raft::Index applied_ = 0;
-  std::size_t applied_bytes_ =
-      0;  ///< Size of the commands applied since the last snapshot, which a restart replays.
+  std::size_t applied_bytes_ = 0;   ///< Size of the commands since the last snapshot, replayed at a restart.
   std::size_t snapshot_bytes_ = 0;  ///< Size of the last snapshot.
-  protocol::Revision told_revision_ = 0;
-  std::uint64_t told_candidacies_ = 0;
+  protocol::Revision notified_revision_ = 0;
+  std::uint64_t logged_candidacies_ = 0;
   std::uint64_t syncs_ = 0;
-  raft::ReadToken next_read_ = 1;
+  raft::ReadToken next_read_token_ = 1;
   std::map<raft::Index, Proposal> proposals_;
-  std::map<raft::ReadToken, std::shared_ptr<ReadDone>> reads_;
-  std::multimap<raft::Index, raft::ReadToken>
-      confirmed_reads_;  ///< Reads to finish when their index is applied.
+  std::map<raft::ReadToken, std::shared_ptr<ReadCompletion>> reads_;
+  std::multimap<raft::Index, raft::ReadToken> confirmed_reads_;  ///< Finished once their index is applied.
 };
 
 /// Size of applied commands after which the log is compacted into a snapshot; bounds the replay at a restart.
--- a/src/control/revision_notices.cpp
+++ b/src/control/revision_notices.cpp
@@ -9,26 +9,26 @@
 
 void RevisionNotices::announce(protocol::Revision revision) {
   revision_ = revision;
-  if (waiting_) {
+  if (notice_pending_) {
     return;
   }
   const core::Instant now = core::BootClock::now();
-  if (now >= next_) {
+  if (now >= next_notice_at_) {
     send_now();
     return;
   }
-  waiting_ = true;
-  timer_.expires_after(next_ - now);
+  notice_pending_ = true;
+  timer_.expires_after(next_notice_at_ - now);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      waiting_ = false;
+      notice_pending_ = false;
       send_now();
     }
   });
 }
 
 void RevisionNotices::send_now() {
-  next_ = core::BootClock::now() + interval_;
+  next_notice_at_ = core::BootClock::now() + interval_;
   send_(revision_);
 }
 
--- a/src/control/revision_notices.hpp
+++ b/src/control/revision_notices.hpp
@@ -31,9 +31,9 @@
   boost::asio::steady_timer timer_;
   Send send_;
   core::Duration interval_;
-  core::Instant next_;
+  core::Instant next_notice_at_;
   protocol::Revision revision_ = 0;
-  bool waiting_ = false;
+  bool notice_pending_ = false;
 };
 
 }  // namespace pipitpond::control
--- a/src/control/route_json.cpp
+++ b/src/control/route_json.cpp
@@ -22,11 +22,11 @@
   return static_cast<std::uint32_t>(fields.number(name, kMaxMillis));
 }
 
-std::uint32_t millis_or_none(JsonFields& fields, const std::string& name) {
+std::uint32_t millis_or_zero(JsonFields& fields, const std::string& name) {
   return fields.has(name) ? millis(fields, name) : 0;
 }
 
-std::uint32_t count_or_none(JsonFields& fields, const std::string& name) {
+std::uint32_t count_or_zero(JsonFields& fields, const std::string& name) {
   return fields.has(name) ? static_cast<std::uint32_t>(fields.number(name, kMaxCount)) : 0;
 }
 
@@ -52,12 +52,12 @@
   route.kind = read_kind(fields.text("kind"), where);
   route.group = core::GroupName(fields.text("group"));
   route.timeout_ms = millis(fields, "timeout_ms");
-  route.goal_ms = millis_or_none(fields, "goal_ms");
-  route.priority = count_or_none(fields, "priority");
-  route.max_attempts = count_or_none(fields, "max_attempts");
-  route.max_staleness_ms = millis_or_none(fields, "max_staleness_ms");
+  route.goal_ms = millis_or_zero(fields, "goal_ms");
+  route.priority = count_or_zero(fields, "priority");
+  route.max_attempts = count_or_zero(fields, "max_attempts");
+  route.max_staleness_ms = millis_or_zero(fields, "max_staleness_ms");
   route.is_public = fields.boolean_or("public", false);
-  fields.no_others();
+  fields.reject_unknown_fields();
   return route;
 }
 
@@ -66,16 +66,16 @@
   protocol::RoutedGroup group;
   group.name = core::GroupName(fields.text("name"));
   group.connection_limit = static_cast<std::uint32_t>(fields.number("connection_limit", kMaxCount));
-  group.sync_replicas = count_or_none(fields, "sync_replicas");
-  fields.no_others();
+  group.sync_replicas = count_or_zero(fields, "sync_replicas");
+  fields.reject_unknown_fields();
   return group;
 }
 
 template <typename Item, typename Read>
 std::vector<Item> read_list(const json& list, const std::string& name, Read read) {
   std::vector<Item> items;
-  for (const json& one : list) {
-    items.push_back(read(one, "body." + name + "[" + std::to_string(items.size()) + "]"));
+  for (const json& item : list) {
+    items.push_back(read(item, "body." + name + "[" + std::to_string(items.size()) + "]"));
   }
   return items;
 }
@@ -99,13 +99,13 @@
   protocol::Tenant tenant;
   tenant.name = core::TenantName(fields.text("name"));
   tenant.keys = read_keys(fields.array("keys"), where);
-  tenant.priority = count_or_none(fields, "priority");
+  tenant.priority = count_or_zero(fields, "priority");
   if (fields.has("rate_per_s")) {
     tenant.quota.emplace();
     tenant.quota->rate_per_s = static_cast<std::uint32_t>(fields.number("rate_per_s", kMaxCount));
-    tenant.quota->burst = count_or_none(fields, "burst");
+    tenant.quota->burst = count_or_zero(fields, "burst");
   }
-  fields.no_others();
+  fields.reject_unknown_fields();
   return tenant;
 }
 
@@ -124,9 +124,9 @@
   registration.database.id = id;
   registration.database.endpoint = fields.endpoint("endpoint");
   registration.database.zone = core::ZoneName(fields.text_or("zone", ""));
-  registration.database.slots = count_or_none(fields, "slots");
+  registration.database.slots = count_or_zero(fields, "slots");
   registration.database.draining = fields.boolean_or("draining", false);
-  fields.no_others();
+  fields.reject_unknown_fields();
   return registration;
 }
 
@@ -137,14 +137,14 @@
     JsonFields fields(value, "body");
     configuration::PutRouteTable put;
     put.table.version = fields.number("version", kMaxVersion);
-    put.table.transaction_idle_ms = millis_or_none(fields, "transaction_idle_ms");
+    put.table.transaction_idle_ms = millis_or_zero(fields, "transaction_idle_ms");
     put.table.routes = read_list<protocol::Route>(fields.array("routes"), "routes", read_route);
     put.table.groups = read_list<protocol::RoutedGroup>(fields.array("groups"), "groups", read_group);
     if (fields.has("tenants")) {
       put.table.tenants = read_tenants(fields.array("tenants"));
     }
     put.document = fields.text("document");
-    fields.no_others();
+    fields.reject_unknown_fields();
     return put;
   });
 }
--- a/src/control/status_json.hpp
+++ b/src/control/status_json.hpp
@@ -9,7 +9,7 @@
 
 namespace pipitpond::control {
 
-/// Body of GET /v1/status.
+/// Renders the body of GET /v1/status.
 nlohmann::json status_json(const Replica& replica, const LeaderDuties& duties, core::Instant now);
 
 }  // namespace pipitpond::control
--- a/tests/control/announcer_test.cpp
+++ b/tests/control/announcer_test.cpp
@@ -41,7 +41,7 @@
   int received_ = 0;
 };
 
-TEST_F(AnnouncerTest, SilentDaemonsAreToldAFewTimes) {
+TEST_F(AnnouncerTest, SilentDaemonGetsAnAnnouncementInEachRound) {
   Announcer announcer(io_, kSelf, [this] { return std::vector<core::Endpoint>{daemon()}; });
   run(announcer);
   EXPECT_EQ(announcer.sent(), std::uint64_t{kAnnouncementRounds});
@@ -49,14 +49,14 @@
       io_, [this] { return received_ > 0; }, std::chrono::seconds(10)));
 }
 
-TEST_F(AnnouncerTest, ADaemonThatHasAskedIsToldNoMore) {
+TEST_F(AnnouncerTest, DaemonThatHasContactedTheReplicaGetsNoFurtherAnnouncements) {
   int rounds = 0;
   Announcer announcer(io_, kSelf, [&] {
-    return ++rounds == 1 ? std::vector<core::Endpoint>(2 * kAnnouncementsAtOnce, daemon())
+    return ++rounds == 1 ? std::vector<core::Endpoint>(2 * kAnnouncementBatchSize, daemon())
                          : std::vector<core::Endpoint>{};
   });
   run(announcer);
-  EXPECT_EQ(announcer.sent(), std::uint64_t{2 * kAnnouncementsAtOnce});
+  EXPECT_EQ(announcer.sent(), std::uint64_t{2 * kAnnouncementBatchSize});
 }
 
 }  // namespace
--- a/tests/control/daemon_changes_test.cpp
+++ b/tests/control/daemon_changes_test.cpp
@@ -24,7 +24,7 @@
   return AdmitDaemon{id(number), 1, core::ZoneName("z"), {"127.0.0.1", 1}, {"127.0.0.1", 2}};
 }
 
-/// Holds each proposal back until the test raises `decided_`.
+/// Holds each proposal back until the test raises `released_proposals_`.
 class DaemonChangesTest : public testing::Test {
  protected:
   DaemonChanges make(core::Duration interval) {
@@ -36,11 +36,11 @@
     proposals_.push_back(std::move(changes));
     const std::size_t number = proposals_.size();
     boost::asio::steady_timer timer(io_);
-    while (decided_ < number) {
+    while (released_proposals_ < number) {
       timer.expires_after(std::chrono::milliseconds(1));
       co_await timer.async_wait(boost::asio::use_awaitable);
     }
-    if (refuse_) {
+    if (fail_proposals_) {
       co_return core::fail(core::ErrorKind::kNotLeader, "No leader.", "Ask another one.");
     }
     CommandResult result;
@@ -54,24 +54,24 @@
 
   boost::asio::io_context io_;
   std::vector<ChangeDaemons> proposals_;
-  std::size_t decided_ = 0;  ///< Number of proposals that may complete.
-  bool refuse_ = false;
+  std::size_t released_proposals_ = 0;  ///< Number of proposals that may complete.
+  bool fail_proposals_ = false;
 };
 
-TEST_F(DaemonChangesTest, TheFirstIsProposedAtOnceAndAllThatComeMeanwhileTogether) {
+TEST_F(DaemonChangesTest, FirstChangeIsProposedAtOnceAndLaterOnesInOneBatch) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
   EXPECT_TRUE(changes.add(admission(1)));
   ASSERT_TRUE(wait_for_proposals(1));
   for (int number = 2; number <= 100; ++number) {
     EXPECT_TRUE(changes.add(admission(number)));
   }
-  decided_ = 2;
+  released_proposals_ = 2;
   ASSERT_TRUE(wait_for_proposals(2));
   EXPECT_EQ(proposals_.at(0).admit.size(), 1U);
   EXPECT_EQ(proposals_.at(1).admit.size(), 99U);
 }
 
-TEST_F(DaemonChangesTest, ChangeOfADaemonThatHasOneInProgressIsDropped) {
+TEST_F(DaemonChangesTest, ChangeIsDroppedWhileTheSameDaemonHasOneQueuedOrInProgress) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
   EXPECT_TRUE(changes.add(admission(1)));
   ASSERT_TRUE(wait_for_proposals(1));
@@ -80,12 +80,12 @@
   EXPECT_FALSE(changes.add(RemoveDaemon{id(2), 1}));
 }
 
-TEST_F(DaemonChangesTest, DepartureWaitsForItsRemovalAndTakesTheWaitingChangesPlace) {
+TEST_F(DaemonChangesTest, RemovalReplacesAQueuedChangeAndWaitsForItsProposal) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
   EXPECT_TRUE(changes.add(admission(1)));
   ASSERT_TRUE(wait_for_proposals(1));
   EXPECT_TRUE(changes.add(admission(2)));
-  decided_ = 2;
+  released_proposals_ = 2;
   const auto removed = run(io_, changes.remove(RemoveDaemon{id(2), 1}, kTestLimit));
   EXPECT_TRUE(removed);
   ASSERT_EQ(proposals_.size(), 2U);
@@ -94,33 +94,33 @@
   EXPECT_EQ(proposals_.at(1).remove.at(0).id, id(2));
 }
 
-TEST_F(DaemonChangesTest, RemovalOfADaemonInProgressFollowsInTheNextProposal) {
+TEST_F(DaemonChangesTest, RemovalOfADaemonWithAChangeInProgressIsInTheNextProposal) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
   EXPECT_TRUE(changes.add(admission(1)));
   ASSERT_TRUE(wait_for_proposals(1));
-  decided_ = 2;
+  released_proposals_ = 2;
   EXPECT_TRUE(run(io_, changes.remove(RemoveDaemon{id(1), 1}, kTestLimit)));
   ASSERT_EQ(proposals_.size(), 2U);
   EXPECT_EQ(proposals_.at(1).remove.size(), 1U);
 }
 
-TEST_F(DaemonChangesTest, DepartureLearnsOfAFailedProposal) {
+TEST_F(DaemonChangesTest, RemovalReturnsTheErrorOfItsProposal) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
-  refuse_ = true;
-  decided_ = 1;
+  fail_proposals_ = true;
+  released_proposals_ = 1;
   const auto removed = run(io_, changes.remove(RemoveDaemon{id(1), 1}, kTestLimit));
   ASSERT_FALSE(removed);
   EXPECT_EQ(removed.error().kind, core::ErrorKind::kNotLeader);
 }
 
-TEST_F(DaemonChangesTest, ProposalHoldsNoMoreThanItsLimit) {
+TEST_F(DaemonChangesTest, ProposalIsLimitedToTheMaximumNumberOfChanges) {
   DaemonChanges changes = make(std::chrono::milliseconds(1));
-  for (std::size_t number = 0; number <= kMaxDaemonChanges; ++number) {
+  for (std::size_t number = 0; number <= kMaxChangesPerProposal; ++number) {
     changes.add(admission(static_cast<int>(number)));
   }
-  decided_ = 2;
+  released_proposals_ = 2;
   ASSERT_TRUE(wait_for_proposals(2));
-  EXPECT_EQ(proposals_.at(0).admit.size(), kMaxDaemonChanges);
+  EXPECT_EQ(proposals_.at(0).admit.size(), kMaxChangesPerProposal);
   EXPECT_EQ(proposals_.at(1).admit.size(), 1U);
 }
 
--- a/tests/control/fetch_replies_test.cpp
+++ b/tests/control/fetch_replies_test.cpp
@@ -43,7 +43,7 @@
   std::uint64_t index_ = 0;
 };
 
-TEST_F(FetchRepliesTest, LaterRevisionIsInTheNextAnswerToTheSameQuestion) {
+TEST_F(FetchRepliesTest, NextReplyToTheSameRequestContainsLaterRevisions) {
   put_zone("a");
   put_zone("b");
   EXPECT_EQ(after(1).changes.size(), 1U);
@@ -54,8 +54,8 @@
   EXPECT_EQ(after(2).changes.size(), 1U);
 }
 
-TEST_F(FetchRepliesTest, ManyDifferentQuestionsAreAllAnswered) {
-  constexpr protocol::Revision kRevisions = 3 * kMaxKeptReplies;
+TEST_F(FetchRepliesTest, RepliesAreCompleteForMoreRevisionsThanAreCached) {
+  constexpr protocol::Revision kRevisions = 3 * kMaxCachedReplies;
   for (protocol::Revision revision = 1; revision <= kRevisions; ++revision) {
     put_zone("z" + std::to_string(revision));
   }
@@ -65,7 +65,7 @@
 }
 
 /// Fetches the remaining pages of a reply as a daemon does, and returns the whole reply.
-std::string collect(FetchReplies& replies, protocol::FetchPage page) {
+std::string fetch_all_pages(FetchReplies& replies, protocol::FetchPage page) {
   std::string bytes = page.bytes;
   while (bytes.size() < page.total) {
     const protocol::FetchRequest request{core::DaemonId("d"), 0, page.revision, bytes.size()};
@@ -76,7 +76,7 @@
   return bytes;
 }
 
-TEST_F(FetchRepliesTest, ALongAnswerComesInPagesThoughTheRevisionGrowsMeanwhile) {
+TEST_F(FetchRepliesTest, LongReplyIsServedInPagesWhileTheRevisionAdvances) {
   put_long_policies();
   const std::string whole = replies_.after(0);
   ASSERT_GT(whole.size(), 2 * kFetchPageBytes);
@@ -87,10 +87,10 @@
   const protocol::FetchPage second = replies_.page({core::DaemonId("d"), 0, first.revision, kFetchPageBytes});
   EXPECT_EQ(second.revision, first.revision);
   EXPECT_EQ(second.newest, first.revision + 1);
-  EXPECT_EQ(collect(replies_, first), whole);
+  EXPECT_EQ(fetch_all_pages(replies_, first), whole);
 }
 
-TEST_F(FetchRepliesTest, AnAnswerThatIsNotKeptBeginsAnew) {
+TEST_F(FetchRepliesTest, ContinuationOfAReplyThatIsNotKeptStartsOver) {
   put_long_policies();
   const protocol::FetchPage page = replies_.page({core::DaemonId("d"), 0, 77, 5000});
   EXPECT_EQ(page.offset, 0U);
@@ -99,7 +99,7 @@
   EXPECT_EQ(beyond.offset, 0U) << "an offset beyond the end of the reply";
 }
 
-TEST_F(FetchRepliesTest, AReplicaThatIsAskedForNothingNamesItsRevision) {
+TEST_F(FetchRepliesTest, RequestAfterTheMaximumRevisionReturnsTheCurrentRevision) {
   put_zone("a");
   const protocol::FetchPage page =
       replies_.page({core::DaemonId("d"), std::numeric_limits<protocol::Revision>::max(), 0, 0});
--- a/tests/control/memory_cluster.cpp
+++ b/tests/control/memory_cluster.cpp
@@ -33,11 +33,11 @@
   raft::Membership membership;
   for (const std::string& name : names()) {
     membership.members.push_back(
-        raft::Member{core::ControlId(name), {}, operators_of(name), raft::MemberRole::kVoter, {}});
+        raft::Member{core::ControlId(name), {}, operator_endpoint(name), raft::MemberRole::kVoter, {}});
   }
-  const auto founding = raft::bootstrap(membership, configuration::StateMachine().snapshot());
+  const auto initial_state = raft::bootstrap(membership, configuration::StateMachine().snapshot());
   for (const std::string& name : names()) {
-    disks_.emplace(name, MemoryDisk(founding));
+    disks_.emplace(name, MemoryDisk(initial_state));
     start(name);
   }
 }
@@ -74,7 +74,7 @@
   const std::string from = message.from.value();
   const std::string to = message.to.value();
   boost::asio::post(io_, [this, from, to, message = std::move(message)] {
-    const bool lost = cut_.contains(from) || cut_.contains(to);
+    const bool lost = partitioned_.contains(from) || partitioned_.contains(to);
     if (!lost && replicas_[to]) {
       replicas_[to]->receive(message);
     }
@@ -83,7 +83,7 @@
 
 std::optional<std::string> MemoryCluster::leader() const {
   for (const auto& [name, replica] : replicas_) {
-    if (replica && replica->leading() && !cut_.contains(name)) {
+    if (replica && replica->leading() && !partitioned_.contains(name)) {
       return name;
     }
   }
--- a/tests/control/memory_cluster.hpp
+++ b/tests/control/memory_cluster.hpp
@@ -31,7 +31,7 @@
 };
 
 /// Endpoint of a replica's operator API. Nothing listens there.
-inline core::Endpoint operators_of(const std::string& name) {
+inline core::Endpoint operator_endpoint(const std::string& name) {
   return {name, 8780};
 }
 
@@ -48,8 +48,8 @@
   /// Stops a replica and keeps its disk.
   void stop(const std::string& name);
   /// Drops all messages between a replica and the others until `heal`.
-  void cut(const std::string& name) { cut_.insert(name); }
-  void heal(const std::string& name) { cut_.erase(name); }
+  void partition(const std::string& name) { partitioned_.insert(name); }
+  void heal(const std::string& name) { partitioned_.erase(name); }
 
   MemoryDisk& disk(const std::string& name) { return disks_.at(name); }
   Replica& replica(const std::string& name) { return *replicas_.at(name); }
@@ -64,7 +64,7 @@
   boost::asio::io_context& io_;
   std::map<std::string, MemoryDisk> disks_;
   std::map<std::string, std::unique_ptr<Replica>> replicas_;
-  std::set<std::string> cut_;
+  std::set<std::string> partitioned_;
   std::uint64_t seed_ = 1;
 };
 
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -17,8 +17,8 @@
     leader_ = cluster_.wait_for_leader();
     for (const std::string& name : cluster_.names()) {
       duties_[name] = std::make_unique<LeaderDuties>(
-          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallAnswers answers) {
-            return std::make_unique<HttpDatabaseCalls>(io_, DatabaseCallTimeouts{}, std::move(answers));
+          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallAnswers callbacks) {
+            return std::make_unique<HttpDatabaseCalls>(io_, DatabaseCallTimeouts{}, std::move(callbacks));
           });
       apis_[name] = std::make_unique<OperatorApi>(
           io_, cluster_.replica(name), *duties_[name],
@@ -57,17 +57,17 @@
   int forwarded_ = 0;
 };
 
-TEST_F(OperatorApiTest, DatabasesStayWithTheReplicaThatAnsweredAndCostTheLeaderNothing) {
+TEST_F(OperatorApiTest, FollowerAnswersUnchangedDatabaseNoticesWithoutTheLeader) {
   const std::string follower = leader_ == "c1" ? "c2" : "c1";
   const auto registered = heartbeat(follower);
   EXPECT_EQ(registered.status, 200U);
   EXPECT_EQ(forwarded_, 1);
-  EXPECT_EQ(next_of(registered), core::to_string(operators_of(follower)))
+  EXPECT_EQ(next_of(registered), core::to_string(operator_endpoint(follower)))
       << "the reply must not direct the database to the leader";
   ASSERT_TRUE(
       run_until(io_, [&] { return !cluster_.replica(follower).machine().configuration().groups.empty(); }));
   for (int times = 0; times < 5; ++times) {
-    EXPECT_EQ(next_of(heartbeat(follower)), core::to_string(operators_of(follower)));
+    EXPECT_EQ(next_of(heartbeat(follower)), core::to_string(operator_endpoint(follower)));
   }
   EXPECT_EQ(forwarded_, 1) << "a notice that changes nothing must not be forwarded";
   EXPECT_EQ(heartbeat(follower, true).status, 200U);
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -32,16 +32,16 @@
     return run(io, cluster.replica(name).propose(std::move(command), kTimeout));
   }
 
-  std::string a_follower(const std::string& leader) { return leader == "c1" ? "c2" : "c1"; }
+  std::string any_follower(const std::string& leader) { return leader == "c1" ? "c2" : "c1"; }
 
   boost::asio::io_context io;
   MemoryCluster cluster{io};
 };
 
-TEST_F(ReplicaTest, LeaderThatIsCutOffServesNothingAsCurrentAndComesBackAsAFollower) {
+TEST_F(ReplicaTest, PartitionedLeaderServesNoStaleReadsAndRejoinsAsAFollower) {
   const std::string old_leader = cluster.wait_for_leader();
   ASSERT_TRUE(propose(old_leader, put_zone("gasabo", "k1")));
-  cluster.cut(old_leader);
+  cluster.partition(old_leader);
   const auto read = run(io, cluster.replica(old_leader).read_barrier(kTimeout));
   EXPECT_FALSE(read);
   const std::string new_leader = cluster.wait_for_leader();
@@ -58,12 +58,12 @@
   EXPECT_EQ(cluster.replica(new_leader).node().term(), term);
 }
 
-TEST_F(ReplicaTest, ALeaderWithAFullDiskStepsDownAndTakesPartAgainOnceThereIsRoom) {
+TEST_F(ReplicaTest, LeaderWithAFullDiskStepsDownAndRejoinsOnceThereIsSpace) {
   const std::string full = cluster.wait_for_leader();
   ASSERT_TRUE(propose(full, put_zone("gasabo", "k1")));
   cluster.disk(full).set_full(true);
   EXPECT_FALSE(propose(full, put_zone("gasabo", "k2", 1, "north")));
-  ASSERT_TRUE(cluster.replica(full).without_room());
+  ASSERT_TRUE(cluster.replica(full).disk_full());
   EXPECT_FALSE(cluster.replica(full).leading());
   const auto refused = propose(full, put_zone("gasabo", "k3", 1, "south"));
   ASSERT_FALSE(refused);
@@ -79,13 +79,13 @@
 
   cluster.disk(full).set_full(false);
   ASSERT_TRUE(run_until(io, [&] { return cluster.replica(full).machine().configuration().revision == 3; }));
-  EXPECT_FALSE(cluster.replica(full).without_room());
+  EXPECT_FALSE(cluster.replica(full).disk_full());
 }
 
 // Guards against a log that grows with the number of changes. 92 changes of a table of 1,340 routes made a
 // log of 28 MB, which took 1.8 s to read and apply after a power failure; no daemon had a configuration until
 // then. Ten times as many would have taken longer to apply than users wait, and filled a disk of 128 MB.
-TEST_F(ReplicaTest, WhatARestartReadsAndAppliesFollowsTheStateAndNotTheDaysChanges) {
+TEST_F(ReplicaTest, ReplayAtARestartIsBoundedByTheStateSizeNotTheNumberOfChanges) {
   constexpr std::uint64_t kTables = 40;
   constexpr std::size_t kDocumentBytes = 300'000;
   const std::string leader = cluster.wait_for_leader();
@@ -111,14 +111,14 @@
       io, [&] { return cluster.replica(leader).machine().configuration().routes.version == kTables; }));
 }
 
-TEST_F(ReplicaTest, AFollowerWithAFullDiskPromisesNothing) {
+TEST_F(ReplicaTest, FollowerWithAFullDiskAcknowledgesNoEntries) {
   const std::string leader = cluster.wait_for_leader();
-  const std::string full = a_follower(leader);
+  const std::string full = any_follower(leader);
   const std::string third = leader == "c3" || full == "c3" ? "c2" : "c3";
   cluster.disk(full).set_full(true);
   ASSERT_TRUE(propose(leader, put_zone("gasabo", "k1")));
-  ASSERT_TRUE(run_until(io, [&] { return cluster.replica(full).without_room(); }));
-  cluster.cut(third);
+  ASSERT_TRUE(run_until(io, [&] { return cluster.replica(full).disk_full(); }));
+  cluster.partition(third);
   EXPECT_FALSE(propose(leader, put_zone("kicukiro", "k2")))
       << "only a replica with a full disk is left to complete a majority";
   cluster.heal(third);
@@ -128,9 +128,9 @@
   ASSERT_TRUE(run_until(io, [&] { return cluster.replica(full).machine().configuration().revision == 2; }));
 }
 
-TEST_F(ReplicaTest, ChangeWithoutAQuorumIsUnknownAndItsKeyAppliesOnceLater) {
+TEST_F(ReplicaTest, ChangeWithoutAQuorumHasAnUnknownOutcomeAndItsResendAppliesOnce) {
   const std::string old_leader = cluster.wait_for_leader();
-  cluster.cut(old_leader);
+  cluster.partition(old_leader);
   const auto lost = propose(old_leader, put_zone("gasabo", "k1"));
   ASSERT_FALSE(lost);
   EXPECT_EQ(lost.error().kind, core::ErrorKind::kTimeout);
@@ -145,8 +145,8 @@
   EXPECT_EQ(cluster.replica(new_leader).machine().configuration().revision, 1U);
 }
 
-TEST_F(ReplicaTest, FollowerNeitherProposesNorConfirmsReads) {
-  const std::string follower = a_follower(cluster.wait_for_leader());
+TEST_F(ReplicaTest, FollowerNeitherAcceptsProposalsNorConfirmsReads) {
+  const std::string follower = any_follower(cluster.wait_for_leader());
   EXPECT_EQ(propose(follower, put_zone("gasabo", "k1")).error().kind, core::ErrorKind::kNotLeader);
   EXPECT_FALSE(run(io, cluster.replica(follower).read_barrier(kTimeout)));
 }
@@ -168,7 +168,7 @@
   EXPECT_EQ(again.value().revision, first.value().revision);
 }
 
-TEST_F(ReplicaTest, ManyCommandsOfOneMomentShareASync) {
+TEST_F(ReplicaTest, ConcurrentCommandsShareDiskSyncs) {
   const std::string leader = cluster.wait_for_leader();
   const auto before = cluster.replica(leader).syncs();
   constexpr int kCommands = 200;
@@ -185,7 +185,7 @@
 
 TEST_F(ReplicaTest, ReplicaThatMissedThousandsOfChangesCatchesUpBySnapshot) {
   const std::string leader = cluster.wait_for_leader();
-  const std::string follower = a_follower(leader);
+  const std::string follower = any_follower(leader);
   cluster.stop(follower);
   constexpr int kChanges = 6000;
   protocol::Revision revision = 0;
--- a/tests/control/revision_notices_test.cpp
+++ b/tests/control/revision_notices_test.cpp
@@ -24,13 +24,13 @@
   std::vector<protocol::Revision> sent_;
 };
 
-TEST_F(RevisionNoticesTest, TheFirstIsSentAtOnce) {
+TEST_F(RevisionNoticesTest, FirstNoticeIsSentAtOnce) {
   auto notices = make(std::chrono::hours(1));
   notices.announce(7);
   EXPECT_THAT(sent_, ElementsAre(7));
 }
 
-TEST_F(RevisionNoticesTest, LaterOnesAreSentTogetherAsTheLast) {
+TEST_F(RevisionNoticesTest, NoticesWithinTheIntervalAreMergedIntoTheLast) {
   auto notices = make(std::chrono::milliseconds(50));
   for (protocol::Revision revision = 1; revision <= 100; ++revision) {
     notices.announce(revision);
@@ -40,7 +40,7 @@
   EXPECT_THAT(sent_, ElementsAre(1, 100));
 }
 
-TEST_F(RevisionNoticesTest, OneThatComesAfterAnIntervalIsSentAtOnceAgain) {
+TEST_F(RevisionNoticesTest, NoticeAfterTheIntervalIsSentAtOnce) {
   auto notices = make(std::chrono::milliseconds(1));
   notices.announce(1);
   notices.announce(2);
--- a/tests/control/run_coroutine.hpp
+++ b/tests/control/run_coroutine.hpp
@@ -18,9 +18,9 @@
 
 /// Runs the io_context until `done` returns true. Returns false after kTestLimit.
 inline bool run_until(boost::asio::io_context& io, const std::function<bool()>& done) {
-  const auto give_up = std::chrono::steady_clock::now() + kTestLimit;
+  const auto deadline = std::chrono::steady_clock::now() + kTestLimit;
   while (!done()) {
-    if (std::chrono::steady_clock::now() > give_up) {
+    if (std::chrono::steady_clock::now() > deadline) {
       return false;
     }
     io.restart();
--- a/tests/control_processes/control_cluster.cpp
+++ b/tests/control_processes/control_cluster.cpp
@@ -8,7 +8,7 @@
 namespace pipitpond::testing {
 namespace {
 
-constexpr std::chrono::seconds kEndLimit(30);
+constexpr std::chrono::seconds kExitTimeout(30);
 constexpr const char* kFaultProxy = "control-faults";
 
 fleet::FleetPlan control_plan(Links links, const fleet::RaftTimes& times) {
@@ -34,15 +34,15 @@
   return "control-" + std::to_string(machine + 1);
 }
 
-std::vector<std::size_t> ControlCluster::others_than(std::size_t machine) {
+std::vector<std::size_t> ControlCluster::other_machines(std::size_t machine) {
   return {(machine + 1) % kMachines, (machine + 2) % kMachines};
 }
 
-core::Endpoint ControlCluster::operators(std::size_t machine) const {
+core::Endpoint ControlCluster::operator_endpoint(std::size_t machine) const {
   return fleet_->endpoint(name(machine));
 }
 
-std::vector<core::Endpoint> ControlCluster::all_operators() const {
+std::vector<core::Endpoint> ControlCluster::all_operator_endpoints() const {
   return fleet_->control_endpoints();
 }
 
@@ -54,7 +54,7 @@
   must(fleet_->start_process(name(machine)));
 }
 
-EndedProcess ControlCluster::run_to_end(std::size_t machine) {
+ProcessResult ControlCluster::run_until_exit(std::size_t machine) {
   const auto log = folder() / (name(machine) + ".log");
   const auto written_before = read_file(log).size();
   start(machine);
@@ -89,7 +89,7 @@
   must(fleet_->wipe(name(machine)));
 }
 
-void ControlCluster::cut_off(std::size_t machine) {
+void ControlCluster::partition(std::size_t machine) {
   must(fleet_->set_links_around(name(machine), fleet::LinkMode::kCut));
 }
 
@@ -97,10 +97,10 @@
   must(fleet_->set_links_around(name(machine), fleet::LinkMode::kPass));
 }
 
-core::Endpoint ControlCluster::link_without_answers(std::size_t machine) {
+core::Endpoint ControlCluster::link_without_replies(std::size_t machine) {
   core::Endpoint listen{"127.0.0.1", process::free_ports("127.0.0.1", 1).front()};
   const std::string link = name(machine) + ".operators";
-  const nlohmann::json made = {{"name", link}, {"listen", listen}, {"target", operators(machine)}};
+  const nlohmann::json made = {{"name", link}, {"listen", listen}, {"target", operator_endpoint(machine)}};
   const nlohmann::json fault = {{"link", link}, {"fault", "drop"}, {"direction", "from_target"}};
   const bool ready = must(fleet_->call(kFaultProxy, "POST", "/v1/links", made)).accepted() &&
                      must(fleet_->call(kFaultProxy, "POST", "/v1/faults", fault)).accepted();
@@ -111,7 +111,7 @@
 }
 
 std::uint64_t ControlCluster::metric(std::size_t machine, const std::string& name) const {
-  const auto reply = call(operators(machine), "GET", "/metrics");
+  const auto reply = call(operator_endpoint(machine), "GET", "/metrics");
   const std::string line = "\npipitpond_control_" + name + " ";
   const auto found = reply ? reply->text.find(line) : std::string::npos;
   if (found == std::string::npos) {
@@ -121,19 +121,19 @@
 }
 
 std::optional<nlohmann::json> ControlCluster::status(std::size_t machine) {
-  const auto reply = call(operators(machine), "GET", "/v1/status");
+  const auto reply = call(operator_endpoint(machine), "GET", "/v1/status");
   if (!accepted(reply)) {
     return std::nullopt;
   }
   return reply->body;
 }
 
-std::size_t ControlCluster::wait_for_leader(const std::vector<std::size_t>& among) {
+std::size_t ControlCluster::wait_for_leader(const std::vector<std::size_t>& machines) {
   std::optional<std::size_t> leader;
   const auto found = [&] {
-    for (const std::size_t asked : among) {
+    for (const std::size_t asked : machines) {
       const auto answer = status(asked);
-      for (const std::size_t machine : among) {
+      for (const std::size_t machine : machines) {
         if (answer && machine_of(answer->at("leader")) == name(machine)) {
           leader = machine;
           return true;
@@ -152,16 +152,16 @@
                                                               std::uint64_t revision, const std::string& key,
                                                               const std::string& region) {
   const nlohmann::json body = {{"revision", revision}, {"key", key}, {"spec", {{"region", region}}}};
-  return call(operators(machine), "PUT", "/v1/zones/" + zone, body);
+  return call(operator_endpoint(machine), "PUT", "/v1/zones/" + zone, body);
 }
 
 std::string ControlCluster::region(std::size_t machine, const std::string& zone) {
-  const auto reply = call(operators(machine), "GET", "/v1/zones/" + zone);
+  const auto reply = call(operator_endpoint(machine), "GET", "/v1/zones/" + zone);
   return accepted(reply) ? reply->body.at("spec").at("region").get<std::string>() : "";
 }
 
-EndedProcess ControlCluster::pipitctl(const std::vector<core::Endpoint>& control,
-                                      const std::vector<std::string>& arguments) {
+ProcessResult ControlCluster::pipitctl(const std::vector<core::Endpoint>& control,
+                                       const std::vector<std::string>& arguments) {
   process::ChildOptions options{binaries() / "pipitctl", {}, folder() / "pipitctl.log"};
   for (const core::Endpoint& endpoint : control) {
     options.arguments.insert(options.arguments.end(), {"--control", core::to_string(endpoint)});
@@ -169,7 +169,7 @@
   options.arguments.insert(options.arguments.end(), arguments.begin(), arguments.end());
   std::filesystem::remove(options.output);
   const auto child = must(process::Child::start(options));
-  const auto exit_code = child->wait(kEndLimit);
+  const auto exit_code = child->wait(kExitTimeout);
   return {exit_code.value_or(-1), read_file(options.output)};
 }
 
--- a/tests/control_processes/control_cluster.hpp
+++ b/tests/control_processes/control_cluster.hpp
@@ -16,8 +16,8 @@
 
 namespace pipitpond::testing {
 
-/// Result of a process that has ended by itself.
-struct EndedProcess {
+/// Exit code and output of a finished process.
+struct ProcessResult {
   int exit_code = 0;
   std::string output;  ///< Standard output and error.
 };
@@ -38,16 +38,16 @@
 
   [[nodiscard]] static std::string name(std::size_t machine);
   /// The two other machines, in ascending order modulo kMachines.
-  [[nodiscard]] static std::vector<std::size_t> others_than(std::size_t machine);
-  [[nodiscard]] core::Endpoint operators(std::size_t machine) const;
-  [[nodiscard]] std::vector<core::Endpoint> all_operators() const;
+  [[nodiscard]] static std::vector<std::size_t> other_machines(std::size_t machine);
+  [[nodiscard]] core::Endpoint operator_endpoint(std::size_t machine) const;
+  [[nodiscard]] std::vector<core::Endpoint> all_operator_endpoints() const;
   [[nodiscard]] std::filesystem::path folder() const { return folder_.path(); }
   [[nodiscard]] std::filesystem::path data_folder(std::size_t machine) const;
 
   /// Starts a machine on its existing data folder, without bootstrapping a cluster.
   void start(std::size_t machine);
-  /// Starts a machine that is expected to end by itself.
-  EndedProcess run_to_end(std::size_t machine);
+  /// Starts a machine that is expected to exit by itself, and waits for that.
+  ProcessResult run_until_exit(std::size_t machine);
   void kill(std::size_t machine);
   void freeze(std::size_t machine);
   void thaw(std::size_t machine);
@@ -57,18 +57,18 @@
   void wipe(std::size_t machine);
   /// Partitions a machine from all others without closing connections, or restores its links. Needs
   /// Links::kMesh.
-  void cut_off(std::size_t machine);
+  void partition(std::size_t machine);
   void reconnect(std::size_t machine);
   /// Creates a link to a machine's operator API that drops every reply, and returns the address it listens
   /// on.
-  core::Endpoint link_without_answers(std::size_t machine);
+  core::Endpoint link_without_replies(std::size_t machine);
 
   /// Reads the metric pipitpond_control_NAME of a machine, such as NAME "term". Works without a leader too.
   [[nodiscard]] std::uint64_t metric(std::size_t machine, const std::string& name) const;
   /// Returns GET /v1/status of a machine, or nothing if the request fails.
   std::optional<nlohmann::json> status(std::size_t machine);
   /// Waits until one of the given machines reports one of them as the leader, and returns that leader.
-  std::size_t wait_for_leader(const std::vector<std::size_t>& among = {0, 1, 2});
+  std::size_t wait_for_leader(const std::vector<std::size_t>& machines = {0, 1, 2});
   /// Sends PUT /v1/zones/ZONE, which creates or updates a zone.
   std::optional<experiment::JsonReply> put_zone(std::size_t machine, const std::string& zone,
                                                 std::uint64_t revision, const std::string& key,
@@ -76,8 +76,8 @@
   /// Reads the region of a zone from a machine. Empty if the zone does not exist or the request fails.
   std::string region(std::size_t machine, const std::string& zone);
   /// Runs pipitctl with the given control addresses and returns its result.
-  EndedProcess pipitctl(const std::vector<core::Endpoint>& control,
-                        const std::vector<std::string>& arguments);
+  ProcessResult pipitctl(const std::vector<core::Endpoint>& control,
+                         const std::vector<std::string>& arguments);
 
  private:
   TestFolder folder_;
--- a/tests/control_processes/disk_test.cpp
+++ b/tests/control_processes/disk_test.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(ControlProcesses, AWipedMachineComesBackUnderANewIdentityAndASecondLossIsSurvived) {
+TEST(ControlProcesses, WipedMachineRejoinsUnderANewIdentityAndCountsForTheQuorum) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 10);
   const std::size_t leader = cluster.wait_for_leader();
@@ -75,7 +75,7 @@
   EXPECT_TRUE(put && put->accepted());
 }
 
-TEST(ControlProcesses, ATornLogTailIsCutOff) {
+TEST(ControlProcesses, TornLogTailIsTruncatedAtRestart) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 5);
   const std::size_t torn = (cluster.wait_for_leader() + 1) % ControlCluster::kMachines;
@@ -99,7 +99,7 @@
   EXPECT_TRUE(put && put->accepted());
 }
 
-TEST(ControlProcesses, ACorruptLogIsRefusedWithARemedy) {
+TEST(ControlProcesses, CorruptLogFailsTheStartWithARemedy) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 5);
   const std::size_t corrupt = (cluster.wait_for_leader() + 1) % ControlCluster::kMachines;
@@ -116,7 +116,7 @@
     file.seekp(kDamagedByte);
     file.put(byte);
   }
-  const auto ended = cluster.run_to_end(corrupt);
+  const auto ended = cluster.run_until_exit(corrupt);
   EXPECT_GT(ended.exit_code, 0);
   EXPECT_NE(ended.output.find("can't be trusted"), std::string::npos) << ended.output;
   EXPECT_NE(ended.output.find("Move the data folder away"), std::string::npos) << ended.output;
--- a/tests/control_processes/leader_loss_test.cpp
+++ b/tests/control_processes/leader_loss_test.cpp
@@ -10,25 +10,25 @@
 namespace pipitpond::testing {
 namespace {
 
-TEST(ControlProcesses, AKilledLeaderIsReplacedAndNoCommittedChangeIsLost) {
+TEST(ControlProcesses, KilledLeaderIsReplacedWithoutLossOfCommittedChanges) {
   ControlCluster cluster;
   const std::size_t first = cluster.wait_for_leader();
   ASSERT_TRUE(accepted(cluster.put_zone(first, "hall-1", 0, "k1", "before")));
 
   cluster.kill(first);
-  const auto rest = ControlCluster::others_than(first);
-  const std::size_t second = cluster.wait_for_leader(rest);
+  const auto others = ControlCluster::other_machines(first);
+  const std::size_t second = cluster.wait_for_leader(others);
   EXPECT_NE(first, second);
-  for (const std::size_t machine : rest) {
+  for (const std::size_t machine : others) {
     EXPECT_EQ(cluster.region(machine, "hall-1"), "before");
   }
-  ASSERT_TRUE(accepted(cluster.put_zone(rest[0], "hall-2", 0, "k2", "after")));
+  ASSERT_TRUE(accepted(cluster.put_zone(others[0], "hall-2", 0, "k2", "after")));
 
   cluster.start(first);
   EXPECT_TRUE(wait_for([&] { return cluster.region(first, "hall-2") == "after"; }));
 }
 
-TEST(ControlProcesses, AThawedLeaderServesNothingStaleAsCurrent) {
+TEST(ControlProcesses, ThawedLeaderServesNoStaleReads) {
   ControlCluster cluster;
   const std::size_t frozen = cluster.wait_for_leader();
   const auto created = cluster.put_zone(frozen, "hall-1", 0, "k1", "old");
@@ -36,9 +36,9 @@
   const std::uint64_t old_revision = revision_of(created);
 
   cluster.freeze(frozen);
-  const auto rest = ControlCluster::others_than(frozen);
-  cluster.wait_for_leader(rest);
-  ASSERT_TRUE(accepted(cluster.put_zone(rest[0], "hall-1", old_revision, "k2", "new")));
+  const auto others = ControlCluster::other_machines(frozen);
+  cluster.wait_for_leader(others);
+  ASSERT_TRUE(accepted(cluster.put_zone(others[0], "hall-1", old_revision, "k2", "new")));
 
   // Sent while it is frozen, so that it reads them before it learns of the new leader.
   constexpr int kReads = 8;
@@ -84,14 +84,14 @@
   EXPECT_EQ(revision_of(resent_after), revision_of(resent_before));
 }
 
-TEST(ControlProcesses, APlannedStopOfTheLeaderCutsNoRequestOfAnOperator) {
+TEST(ControlProcesses, GracefulShutdownOfTheLeaderFailsNoOperatorRequest) {
   ControlCluster cluster;
   const std::size_t leader = cluster.wait_for_leader();
   constexpr int kWriters = 4;
   constexpr int kChangesEach = 25;
   std::vector<std::future<int>> writers;
   writers.reserve(kWriters);
-  const auto rest = ControlCluster::others_than(leader);
+  const auto others = ControlCluster::other_machines(leader);
   for (int writer = 0; writer < kWriters; ++writer) {
     // Each half of the writers uses one follower, which forwards the changes to the leader.
     writers.push_back(std::async(std::launch::async, [&, writer] {
@@ -99,18 +99,18 @@
       for (int change = 0; change < kChangesEach; ++change) {
         const std::string zone = "zone-" + std::to_string(writer) + "-" + std::to_string(change);
         refused +=
-            accepted(cluster.put_zone(rest[static_cast<std::size_t>(writer % 2)], zone, 0, zone)) ? 0 : 1;
+            accepted(cluster.put_zone(others[static_cast<std::size_t>(writer % 2)], zone, 0, zone)) ? 0 : 1;
       }
       return refused;
     }));
   }
   // It can't be committed while the followers are frozen, so it is still in progress when the stop begins.
-  for (const std::size_t follower : rest) {
+  for (const std::size_t follower : others) {
     cluster.freeze(follower);
   }
   auto waiting = std::async(std::launch::async, [&] { return cluster.put_zone(leader, "hall-1", 0, "k"); });
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  for (const std::size_t follower : rest) {
+  for (const std::size_t follower : others) {
     cluster.thaw(follower);
   }
   EXPECT_EQ(cluster.stop(leader), 0);
--- a/tests/control_processes/operators_test.cpp
+++ b/tests/control_processes/operators_test.cpp
@@ -13,9 +13,9 @@
 namespace pipitpond::testing {
 namespace {
 
-constexpr int kDone = 0;
-constexpr int kRefused = 1;
-constexpr int kNoAnswer = 3;
+constexpr int kExitDone = 0;
+constexpr int kExitRefused = 1;
+constexpr int kExitNoReply = 3;
 
 bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
@@ -28,7 +28,7 @@
   return path.string();
 }
 
-TEST(ControlProcesses, OfOperatorsWithEqualRevisionsExactlyOneWins) {
+TEST(ControlProcesses, ExactlyOneOfConcurrentChangesToTheSameRevisionIsAccepted) {
   ControlCluster cluster;
   auto created = cluster.put_zone(0, "hall-1", 0, "created", "start");
   ASSERT_TRUE(created && created->accepted());
@@ -36,42 +36,43 @@
 
   constexpr int kRounds = 15;
   for (int round = 0; round < kRounds; ++round) {
-    std::vector<std::future<std::optional<experiment::JsonReply>>> racers;
+    std::vector<std::future<std::optional<experiment::JsonReply>>> requests;
     for (std::size_t machine = 0; machine < ControlCluster::kMachines; ++machine) {
-      const std::string who = std::to_string(round) + "-" + std::to_string(machine);
-      racers.push_back(std::async(std::launch::async, [&cluster, machine, revision, who] {
-        return cluster.put_zone(machine, "hall-1", revision, "race-" + who, who);
+      const std::string writer = std::to_string(round) + "-" + std::to_string(machine);
+      requests.push_back(std::async(std::launch::async, [&cluster, machine, revision, writer] {
+        return cluster.put_zone(machine, "hall-1", revision, "race-" + writer, writer);
       }));
     }
-    int winners = 0;
-    std::set<std::uint64_t> told;
-    for (auto& racer : racers) {
-      const auto reply = racer.get();
+    int accepted_requests = 0;
+    std::set<std::uint64_t> reported_revisions;
+    for (auto& request : requests) {
+      const auto reply = request.get();
       ASSERT_TRUE(reply);
       if (reply->accepted()) {
-        ++winners;
-        told.insert(reply->body.at("revision").get<std::uint64_t>());
+        ++accepted_requests;
+        reported_revisions.insert(reply->body.at("revision").get<std::uint64_t>());
       } else {
         EXPECT_EQ(reply->status, 409U) << reply->text;
         EXPECT_EQ(reply->body.at("error").at("kind"), "conflict");
-        told.insert(reply->body.at("current_revision").get<std::uint64_t>());
+        reported_revisions.insert(reply->body.at("current_revision").get<std::uint64_t>());
       }
     }
-    ASSERT_EQ(winners, 1);
-    ASSERT_EQ(told.size(), 1U) << "a refused request reported another revision than the accepted one";
-    ASSERT_GT(*told.begin(), revision);
-    revision = *told.begin();
+    ASSERT_EQ(accepted_requests, 1);
+    ASSERT_EQ(reported_revisions.size(), 1U)
+        << "a refused request reported another revision than the accepted one";
+    ASSERT_GT(*reported_revisions.begin(), revision);
+    revision = *reported_revisions.begin();
   }
 }
 
-TEST(ControlProcesses, AChangeWhoseAnswerWasLostAppliesOnceWithItsFirstAnswer) {
+TEST(ControlProcesses, ResentChangeAppliesOnceAndReturnsTheLostReply) {
   ControlCluster cluster;
   const std::size_t leader = cluster.wait_for_leader();
   for (std::size_t machine = 0; machine < ControlCluster::kMachines; ++machine) {
     const std::string zone = "hall-" + std::to_string(machine);
-    const core::Endpoint behind_fault = cluster.link_without_answers(machine);
+    const core::Endpoint lossy_endpoint = cluster.link_without_replies(machine);
     const nlohmann::json body = {{"revision", 0}, {"key", "lost-" + zone}, {"spec", {{"region", "once"}}}};
-    const auto lost = call(behind_fault, "PUT", "/v1/zones/" + zone, body, std::chrono::milliseconds(1000));
+    const auto lost = call(lossy_endpoint, "PUT", "/v1/zones/" + zone, body, std::chrono::milliseconds(1000));
     EXPECT_FALSE(lost.has_value());
     ASSERT_TRUE(wait_for([&] { return cluster.region(leader, zone) == "once"; }));
 
@@ -90,13 +91,13 @@
   }
 }
 
-TEST(ControlProcesses, AResentChangeGetsItsFirstAnswerFromAnyMachineAcrossALeaderChangeAndARestart) {
+TEST(ControlProcesses, ResentChangeReturnsTheFirstReplyOnAnyMachineAfterALeaderChangeAndARestart) {
   ControlCluster cluster;
   const std::size_t leader = cluster.wait_for_leader();
-  const auto rest = ControlCluster::others_than(leader);
-  const core::Endpoint behind_fault = cluster.link_without_answers(rest[0]);
+  const auto others = ControlCluster::other_machines(leader);
+  const core::Endpoint lossy_endpoint = cluster.link_without_replies(others[0]);
   const nlohmann::json body = {{"revision", 0}, {"key", "lost"}, {"spec", {{"region", "once"}}}};
-  EXPECT_FALSE(call(behind_fault, "PUT", "/v1/zones/hall-1", body, std::chrono::milliseconds(1000)));
+  EXPECT_FALSE(call(lossy_endpoint, "PUT", "/v1/zones/hall-1", body, std::chrono::milliseconds(1000)));
   ASSERT_TRUE(wait_for([&] { return cluster.region(leader, "hall-1") == "once"; }));
   const auto other = cluster.put_zone(leader, "hall-1", 0, "other", "twice");
   ASSERT_TRUE(other);
@@ -119,8 +120,8 @@
   };
   resend_to({0, 1, 2});
   cluster.kill(leader);
-  EXPECT_NE(cluster.wait_for_leader(rest), leader);
-  resend_to(rest);
+  EXPECT_NE(cluster.wait_for_leader(others), leader);
+  resend_to(others);
   cluster.start(leader);
   resend_to({leader});
   for (std::size_t machine = 0; machine < ControlCluster::kMachines; ++machine) {
@@ -133,38 +134,38 @@
   resend_to({0, 1, 2});
 }
 
-TEST(ControlProcesses, PipitctlTellsConflictsAndTheLossOfTheQuorum) {
+TEST(ControlProcesses, PipitctlReportsConflictsAndQuorumLoss) {
   ControlCluster cluster;
   const std::size_t leader = cluster.wait_for_leader();
-  const std::vector<core::Endpoint> all = cluster.all_operators();
+  const std::vector<core::Endpoint> all = cluster.all_operator_endpoints();
 
   const auto created = cluster.pipitctl(all, {"apply", "-f", write_zone_file(cluster, "a.toml", 0, "first")});
-  EXPECT_EQ(created.exit_code, kDone) << created.output;
+  EXPECT_EQ(created.exit_code, kExitDone) << created.output;
   const auto conflict =
       cluster.pipitctl(all, {"apply", "-f", write_zone_file(cluster, "b.toml", 0, "other")});
-  EXPECT_EQ(conflict.exit_code, kRefused) << conflict.output;
+  EXPECT_EQ(conflict.exit_code, kExitRefused) << conflict.output;
   EXPECT_TRUE(contains(conflict.output, "current revision")) << conflict.output;
   EXPECT_TRUE(contains(conflict.output, "remedy:")) << conflict.output;
 
   cluster.kill(leader);
   const auto again = cluster.pipitctl(all, {"get", "zones", "hall-1", "--output", "json"});
-  EXPECT_EQ(again.exit_code, kDone) << again.output;
+  EXPECT_EQ(again.exit_code, kExitDone) << again.output;
   EXPECT_TRUE(contains(again.output, "first")) << again.output;
 
   cluster.kill((leader + 1) % ControlCluster::kMachines);
   const auto unknown = cluster.pipitctl(
       all, {"apply", "-f", write_zone_file(cluster, "c.toml", 0, "late"), "--key", "late", "--timeout", "2"});
-  EXPECT_EQ(unknown.exit_code, kNoAnswer) << unknown.output;
+  EXPECT_EQ(unknown.exit_code, kExitNoReply) << unknown.output;
   EXPECT_TRUE(contains(unknown.output, "remedy:")) << unknown.output;
   EXPECT_TRUE(contains(unknown.output, "same key")) << unknown.output;
 }
 
-TEST(ControlProcesses, PipitctlResendsALostChangeByItself) {
+TEST(ControlProcesses, PipitctlRetriesAChangeWhoseReplyWasLost) {
   ControlCluster cluster;
-  const core::Endpoint lossy = cluster.link_without_answers(0);
-  const auto created = cluster.pipitctl({lossy, cluster.operators(1)},
+  const core::Endpoint lossy_endpoint = cluster.link_without_replies(0);
+  const auto created = cluster.pipitctl({lossy_endpoint, cluster.operator_endpoint(1)},
                                         {"apply", "-f", write_zone_file(cluster, "a.toml", 0, "once")});
-  EXPECT_EQ(created.exit_code, kDone) << created.output;
+  EXPECT_EQ(created.exit_code, kExitDone) << created.output;
   EXPECT_EQ(cluster.region(2, "hall-1"), "once");
 }
 
