--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -136,7 +136,7 @@
 void ControlServer::make_services() {
   duties_ = std::make_unique<LeaderDuties>(
       io_, *replica_, options_.daemon_lease,
-      [this](DatabaseCallAnswers callbacks) { return make_database_calls(std::move(callbacks)); });
+      [this](DatabaseCallCallbacks callbacks) { return make_database_calls(std::move(callbacks)); });
   const auto forward = [this](core::Endpoint leader, protocol::OperatorRequest request,
                               core::Duration timeout) {
     return peers_.forward(std::move(leader), std::move(request), timeout);
@@ -157,16 +157,16 @@
   }
 }
 
-std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallAnswers callbacks) {
+std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallCallbacks callbacks) {
   if (!adapters_.make_database_calls) {
     return std::make_unique<HttpDatabaseCalls>(io_, options_.database_calls, std::move(callbacks));
   }
-  LeaderMandate mandate;
-  mandate.holds = [this] {
+  FencedLeadership fenced_leadership;
+  fenced_leadership.holds = [this] {
     return replica_->leading() && replica_->node().has_quorum(core::BootClock::now());
   };
-  mandate.token = [this] { return replica_->node().term(); };
-  return adapters_.make_database_calls(io_, std::move(mandate), std::move(callbacks));
+  fenced_leadership.token = [this] { return replica_->node().term(); };
+  return adapters_.make_database_calls(io_, std::move(fenced_leadership), std::move(callbacks));
 }
 
 core::Result<void> ControlServer::open_ports() {
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -37,7 +37,7 @@
 using TranslateRequest = std::function<std::optional<TranslatedCall>(const http::Request&)>;
 
 /// Lets calls to external systems check leadership and send a fencing token, which grows with each leader.
-struct LeaderMandate {
+struct FencedLeadership {
   std::function<bool()> holds;           ///< This replica leads and no other can have been elected.
   std::function<std::uint64_t()> token;  ///< The fencing token: the Raft term.
 };
@@ -45,7 +45,8 @@
 /// Adapters to systems that do not speak the protocols of control. Each is optional.
 struct ControlAdapters {
   TranslateRequest translate_request;
-  std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, LeaderMandate, DatabaseCallAnswers)>
+  std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, FencedLeadership,
+                                               DatabaseCallCallbacks)>
       make_database_calls;
 };
 
@@ -76,7 +77,7 @@
   void on_configuration(const protocol::Configuration& configuration);
   void notify_daemons(protocol::Revision revision);
   void on_leadership(bool leading);
-  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallAnswers callbacks);
+  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallCallbacks callbacks);
   void on_http(http::Request request, http::Responder respond);
   boost::asio::awaitable<void> serve_translated(TranslatedCall call, http::Responder respond);
   boost::asio::awaitable<void> serve_operator(http::Request request, http::Responder respond);
--- a/src/control/database_calls.cpp
+++ b/src/control/database_calls.cpp
@@ -62,7 +62,7 @@
 }  // namespace
 
 HttpDatabaseCalls::HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
-                                     DatabaseCallAnswers callbacks)
+                                     DatabaseCallCallbacks callbacks)
     : io_(io), timeouts_(timeouts), callbacks_(std::move(callbacks)) {}
 
 void HttpDatabaseCalls::probe(failover::ProbeDatabase call) {
--- a/src/control/database_calls.hpp
+++ b/src/control/database_calls.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Callbacks for the results of calls. All run on the io_context.
-struct DatabaseCallAnswers {
+struct DatabaseCallCallbacks {
   std::function<void(const database::StatusAnswer&)> status;
   std::function<void(const core::DatabaseId&)> status_failed;
   std::function<void(const failover::FenceDatabase&, const database::FenceAnswer&)> fenced;
@@ -48,13 +48,13 @@
 };
 
 /// Creates the DatabaseCalls of a process, which report to the given callbacks.
-using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallAnswers callbacks)>;
+using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallCallbacks callbacks)>;
 
 /// Calls over the project's own protocol: HTTP with JSON.
 class HttpDatabaseCalls : public DatabaseCalls {
  public:
   HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
-                    DatabaseCallAnswers callbacks);
+                    DatabaseCallCallbacks callbacks);
 
   void probe(failover::ProbeDatabase call) override;
   void fence(failover::FenceDatabase call) override;
@@ -67,7 +67,7 @@
 
   boost::asio::io_context& io_;
   DatabaseCallTimeouts timeouts_;
-  DatabaseCallAnswers callbacks_;
+  DatabaseCallCallbacks callbacks_;
 };
 
 }  // namespace pipitpond::control
--- a/src/control/leader_duties.cpp
+++ b/src/control/leader_duties.cpp
@@ -44,9 +44,9 @@
   timer_.cancel();
 }
 
-DatabaseCallAnswers LeaderDuties::make_callbacks() {
+DatabaseCallCallbacks LeaderDuties::make_callbacks() {
   using core::BootClock;
-  DatabaseCallAnswers callbacks;
+  DatabaseCallCallbacks callbacks;
   callbacks.status = [this](const database::StatusAnswer& status) {
     coordinator_.on_probe_answer(BootClock::now(), status);
     execute_effects();
