--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -121,7 +121,7 @@
   config.election_timeout_max = options_.election_timeout_max;
   config.open_membership = options_.open_membership;
   // A majority must remain after the loss of `tolerated_losses` voters.
-  config.least_voters = 2 * std::size_t{options_.tolerated_losses} + 1;
+  config.min_voters = 2 * std::size_t{options_.tolerated_losses} + 1;
   ReplicaEvents events;
   events.configuration_changed = [this](const protocol::Configuration& value) { on_configuration(value); };
   events.leadership_changed = [this](bool leading) { on_leadership(leading); };
--- a/src/control/joiner.cpp
+++ b/src/control/joiner.cpp
@@ -76,7 +76,7 @@
 }
 
 std::vector<core::Endpoint> Joiner::targets() const {
-  std::vector<core::Endpoint> targets = node_.join_contacts();
+  std::vector<core::Endpoint> targets = node_.join_endpoints();
   for (const Peer& peer : configured_peers_) {
     if (std::find(targets.begin(), targets.end(), peer.internal) == targets.end()) {
       targets.push_back(peer.internal);
@@ -107,7 +107,7 @@
     return;
   }
   next_log_at_ = now + kLogInterval;
-  const std::optional<raft::JoinAnswer>& answer = node_.join_answer();
+  const std::optional<raft::LastJoinReply>& answer = node_.last_join_reply();
   const bool answered = answer && answer->at >= *first_request_at_;
   logging::logger("control")->info(
       "event=asks_to_join identity={} for_ms={} asked={} answered_by={} refusal={} leader={}",
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -331,7 +331,8 @@
 }
 
 void Replica::detect_leadership_gain() {
-  const bool gained = !leading_ && node_.role() == raft::Role::kLeader && node_.leads_with_committed_term();
+  const bool gained =
+      !leading_ && node_.role() == raft::Role::kLeader && node_.has_committed_in_current_term();
   if (!gained) {
     return;
   }
