--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -1,4 +1,4 @@
-// The control daemon: puts the parts together, serves daemons and operators, and stops in order.
+// The control daemon: creates its components, serves daemons and operators, and shuts down gracefully.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -26,23 +26,23 @@
 
 namespace pipitpond::control {
 
-/// An HTTP request of another interface, translated into a call of the operators' interface.
+/// An HTTP request of another API, translated into a request of the operator API.
 struct TranslatedCall {
   protocol::OperatorRequest request;
-  /// Makes the answer of the other interface.
+  /// Converts the reply into a response of the other API.
   std::function<http::Response(protocol::OperatorReply)> answer;
 };
 
-/// Translates a request; empty when it is none of the other interface.
+/// Translates a request. Returns nothing if the request does not belong to the other API.
 using TranslateRequest = std::function<std::optional<TranslatedCall>(const http::Request&)>;
 
-/// Numbers what a leader orders from outside: grows with each change of leader.
+/// Lets calls to external systems check leadership and send a fencing token, which grows with each leader.
 struct FencedLeadership {
-  std::function<bool()> holds;           ///< This replica leads and surely no other one does.
-  std::function<std::uint64_t()> token;  ///< The leader's term.
+  std::function<bool()> holds;           ///< This replica leads and no other can have been elected.
+  std::function<std::uint64_t()> token;  ///< The fencing token: the Raft term.
 };
 
-/// Ways in which control meets systems that don't speak its own protocols. Each may be left out.
+/// Adapters to systems that do not speak the protocols of control. Each is optional.
 struct ControlAdapters {
   TranslateRequest translate_request;
   std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, FencedLeadership,
@@ -50,20 +50,20 @@
       make_database_calls;
 };
 
-/// One control process.
+/// The components of one control process.
 class ControlServer {
  public:
-  /// `failed` is called when the process must end because its disk can't be trusted any more.
+  /// `failed` is called after an unrecoverable disk error; it must terminate the process.
   ControlServer(boost::asio::io_context& io, ControlOptions options,
                 std::function<void(const core::Error&)> failed, ControlAdapters adapters = {});
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
-  /// Opens the disk and the ports.
+  /// Opens the data folder, listens on the ports and starts all components.
   boost::asio::awaitable<core::Result<void>> start();
-  /// Takes over the replicas that the settings name; all else needs a restart.
+  /// Applies the peers of changed settings. All other settings need a restart.
   void reload(const ControlOptions& options);
-  /// Planned stop: hands leadership over, lets requests in progress finish, closes everything.
+  /// Graceful shutdown: transfers leadership, waits for requests in progress and closes all connections.
   boost::asio::awaitable<void> stop();
 
   [[nodiscard]] const Replica& replica() const { return *replica_; }
@@ -73,29 +73,29 @@
   void make_replica(raft::PersistedState persisted);
   void make_services();
   void send(raft::Message message);
-  void send_to_callers(const raft::Message& message);
+  void send_to_connected_replicas(const raft::Message& message);
   void on_configuration(const protocol::Configuration& configuration);
-  void tell_daemons(protocol::Revision revision);
+  void notify_daemons(protocol::Revision revision);
   void on_leadership(bool leading);
-  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallCallbacks answers);
+  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallCallbacks callbacks);
   void on_http(http::Request request, http::Responder respond);
   boost::asio::awaitable<void> serve_translated(TranslatedCall call, http::Responder respond);
   boost::asio::awaitable<void> serve_operator(http::Request request, http::Responder respond);
   boost::asio::awaitable<protocol::OperatorReply> serve_forwarded(protocol::OperatorRequest request);
   boost::asio::awaitable<void> announce();
   boost::asio::awaitable<void> keep_members_connected();
-  boost::asio::awaitable<void> hand_over_leadership();
-  boost::asio::awaitable<void> finish_requests();
+  boost::asio::awaitable<void> transfer_leadership_and_wait();
+  boost::asio::awaitable<void> wait_for_requests();
   boost::asio::awaitable<void> pause(core::Duration duration);
   [[nodiscard]] http::Response readiness() const;
-  [[nodiscard]] EdgeCounters edge_counters() const;
+  [[nodiscard]] IoCounters io_counters() const;
 
   boost::asio::io_context& io_;
   ControlOptions options_;
-  std::function<void(const core::Error&)> failed_;
+  std::function<void(const core::Error&)> on_failure_;
   ControlAdapters adapters_;
   PeerChannels peers_;
-  StartedDisk disk_;
+  OpenedDisk disk_;
   std::unique_ptr<Replica> replica_;
   std::unique_ptr<LeaderDuties> duties_;
   std::unique_ptr<OperatorApi> operators_;
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -56,9 +56,9 @@
   }
 }
 
-/// True when the request may succeed with another leader or a little later. Changes carry keys and reads are
-/// free of effects, so that a second attempt is safe also when the first one's fate is not known.
-bool worth_another_attempt(const OperatorReply& reply) {
+/// Returns true if the request may succeed with another leader or a little later. A retry is safe even if the
+/// outcome of the first attempt is unknown: changes carry idempotency keys and reads have no side effects.
+bool is_retryable(const OperatorReply& reply) {
   const auto kind = error_kind_of(reply);
   return kind && (*kind == core::ErrorKind::kNotLeader || *kind == core::ErrorKind::kLeaving ||
                   *kind == core::ErrorKind::kTimeout || *kind == core::ErrorKind::kConnectionLost ||
@@ -67,36 +67,38 @@
 
 core::Error no_such_path(const OperatorRequest& request) {
   return core::Error{core::ErrorKind::kNotFound,
-                     "There is no call " + request.method + " " + request.path + ".",
-                     "See docs/API.md for the calls of control.", 0};
+                     "There is no endpoint " + request.method + " " + request.path + ".",
+                     "See docs/API.md for the endpoints of control.", 0};
 }
 
 core::Error no_leader() {
-  return core::Error{core::ErrorKind::kUnavailable, "No leader of control is known here.",
-                     "Ask another control replica; if all say so, see docs/operators/control-quorum-loss.md.",
-                     1000};
+  return core::Error{
+      core::ErrorKind::kUnavailable, "This control replica knows no leader.",
+      "Ask another control replica; if none knows a leader, see docs/operators/control-quorum-loss.md.",
+      1000};
 }
 
-/// Notices of databases: POST /v1/databases/ID/heartbeat and POST /v1/databases/ID/leave.
+/// Path prefix of notices that databases send: POST /v1/databases/ID/heartbeat and .../ID/leave.
 const std::string kDatabasesPath = "/v1/databases/";
 
 bool is_database_notice(const OperatorRequest& request) {
   return request.method == "POST" && request.path.starts_with(kDatabasesPath);
 }
 
-/// The name in "/v1/groups/NAME" for the prefix "/v1/groups/"; empty when the path has another prefix.
-std::string name_after(const std::string& path, const std::string& prefix) {
+/// Returns what follows `prefix` in `path`, such as NAME in "/v1/groups/NAME" after "/v1/groups/". Empty if
+/// the path has another prefix.
+std::string suffix_after(const std::string& path, const std::string& prefix) {
   return path.starts_with(prefix) ? path.substr(prefix.size()) : std::string();
 }
 
-/// One element of a map as a reply.
+/// Replies with the element `name` of a map, or with kNotFound.
 template <typename Map, typename Name>
-OperatorReply one(const Map& map, const Name& name, const std::string& what) {
+OperatorReply element_reply(const Map& map, const Name& name, const std::string& what) {
   const auto found = map.find(name);
   if (found == map.end()) {
     return error_reply(
         core::Error{core::ErrorKind::kNotFound, "There is no " + what + " " + name.value() + ".",
-                    "List those that exist with GET.", 0},
+                    "List the existing ones with GET.", 0},
         protocol::Revision{0});
   }
   return ok(to_json(found->second));
@@ -133,15 +135,15 @@
       timeouts_(timeouts) {}
 
 awaitable<OperatorReply> OperatorApi::handle(OperatorRequest request) {
-  if (auto known = answer_known_database(request)) {
+  if (auto known = answer_unchanged_database(request)) {
     co_return std::move(*known);
   }
-  const core::Instant give_up = core::BootClock::now() + timeouts_.leader_change;
+  const core::Instant deadline = core::BootClock::now() + timeouts_.leader_change;
   while (true) {
-    OperatorReply reply = co_await attempt(request);
-    if (!worth_another_attempt(reply) || core::BootClock::now() >= give_up) {
+    OperatorReply reply = co_await handle_once(request);
+    if (!is_retryable(reply) || core::BootClock::now() >= deadline) {
       if (reply.status == kOk && is_database_notice(request)) {
-        co_return database_reply();  // Not the leader's, which names the leader.
+        co_return database_reply();  // Not the leader's reply, whose `next` is the leader.
       }
       co_return reply;
     }
@@ -151,7 +153,7 @@
   }
 }
 
-awaitable<OperatorReply> OperatorApi::attempt(OperatorRequest request) {
+awaitable<OperatorReply> OperatorApi::handle_once(OperatorRequest request) {
   if (replica_.leading()) {
     co_return co_await handle_as_leader(std::move(request));
   }
@@ -190,10 +192,10 @@
   if (!current) {
     co_return error_reply(current.error());
   }
-  co_return read(path);
+  co_return read_resource(path);
 }
 
-OperatorReply OperatorApi::read(const std::string& path) const {
+OperatorReply OperatorApi::read_resource(const std::string& path) const {
   const protocol::Configuration& configuration = replica_.machine().configuration();
   if (path == "/v1/configuration") {
     return ok(to_json(configuration));
@@ -210,14 +212,14 @@
   if (path == "/v1/policies") {
     return ok({{"policies", list_json(configuration.policies)}});
   }
-  if (const auto name = name_after(path, "/v1/groups/"); !name.empty()) {
-    return one(configuration.groups, core::GroupName(name), "group");
+  if (const auto name = suffix_after(path, "/v1/groups/"); !name.empty()) {
+    return element_reply(configuration.groups, core::GroupName(name), "group");
   }
-  if (const auto name = name_after(path, "/v1/zones/"); !name.empty()) {
-    return one(configuration.zones, core::ZoneName(name), "zone");
+  if (const auto name = suffix_after(path, "/v1/zones/"); !name.empty()) {
+    return element_reply(configuration.zones, core::ZoneName(name), "zone");
   }
-  if (const auto name = name_after(path, "/v1/policies/"); !name.empty()) {
-    return one(configuration.policies, core::PolicyName(name), "policy");
+  if (const auto name = suffix_after(path, "/v1/policies/"); !name.empty()) {
+    return element_reply(configuration.policies, core::PolicyName(name), "policy");
   }
   return error_reply(no_such_path(OperatorRequest{"GET", path, {}, {}}));
 }
@@ -226,14 +228,14 @@
   if (request.path == "/v1/routes") {
     co_return co_await put_routes(std::move(request));
   }
-  if (const auto name = name_after(request.path, "/v1/groups/"); !name.empty()) {
-    co_return co_await change(parse_put_group(core::GroupName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/groups/"); !name.empty()) {
+    co_return co_await propose_change(parse_put_group(core::GroupName(name), request.body));
   }
-  if (const auto name = name_after(request.path, "/v1/zones/"); !name.empty()) {
-    co_return co_await change(parse_put_zone(core::ZoneName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/zones/"); !name.empty()) {
+    co_return co_await propose_change(parse_put_zone(core::ZoneName(name), request.body));
   }
-  if (const auto name = name_after(request.path, "/v1/policies/"); !name.empty()) {
-    co_return co_await change(parse_policy(core::PolicyName(name), request.body));
+  if (const auto name = suffix_after(request.path, "/v1/policies/"); !name.empty()) {
+    co_return co_await propose_change(parse_policy(core::PolicyName(name), request.body));
   }
   co_return error_reply(no_such_path(request));
 }
@@ -253,23 +255,22 @@
 }
 
 awaitable<OperatorReply> OperatorApi::handle_post(OperatorRequest request) {
-  if (!name_after(request.path, kDatabasesPath).empty()) {
-    co_return co_await change_database(std::move(request));
+  if (!suffix_after(request.path, kDatabasesPath).empty()) {
+    co_return co_await handle_database_notice(std::move(request));
   }
   if (request.path == "/v1/drain") {
-    co_return co_await change(parse_drain(request.body));
+    co_return co_await propose_change(parse_drain(request.body));
   }
   if (request.path == "/v1/members") {
     co_return co_await change_members(parse_member(request.body));
   }
   if (request.path == "/v1/policies/check") {
-    co_return check(parse_policy_check(request.body));
+    co_return check_policy_source(parse_policy_check(request.body));
   }
   co_return error_reply(no_such_path(request));
 }
 
-// --- Routes and databases that register by themselves
-// ---------------------------------------------------------
+// --- Routes and databases that register themselves ---
 
 awaitable<OperatorReply> OperatorApi::put_routes(OperatorRequest request) {
   auto put = parse_put_routes(request.body);
@@ -278,7 +279,7 @@
   }
   configuration::Command command;
   command.operation = std::move(put.value());
-  co_return co_await change(std::move(command));
+  co_return co_await propose_change(std::move(command));
 }
 
 awaitable<OperatorReply> OperatorApi::read_routes() {
@@ -287,13 +288,13 @@
     co_return error_reply(current.error());
   }
   if (replica_.machine().configuration().routes.version == 0) {
-    co_return error_reply(core::Error{core::ErrorKind::kNotFound, "No route table has been put yet.",
+    co_return error_reply(core::Error{core::ErrorKind::kNotFound, "No route table has been stored yet.",
                                       "Send one with PUT /v1/routes.", 0});
   }
   co_return OperatorReply{200, replica_.machine().route_document()};
 }
 
-awaitable<OperatorReply> OperatorApi::change_database(OperatorRequest request) {
+awaitable<OperatorReply> OperatorApi::handle_database_notice(OperatorRequest request) {
   auto command = parse_database_notice(request.path.substr(kDatabasesPath.size()), request.body);
   if (!command) {
     co_return error_reply(command.error());
@@ -308,8 +309,9 @@
   co_return database_reply();
 }
 
-/// Most notices of databases tell what every replica knows already: no need to ask the leader.
-std::optional<OperatorReply> OperatorApi::answer_known_database(const OperatorRequest& request) const {
+/// Replies without the leader to a notice that changes nothing, as most do. Returns nothing for any other
+/// request.
+std::optional<OperatorReply> OperatorApi::answer_unchanged_database(const OperatorRequest& request) const {
   if (!is_database_notice(request)) {
     return std::nullopt;
   }
@@ -325,10 +327,10 @@
   return database_reply();
 }
 
-/// Tells where the next notices are best sent: here. Most tell nothing new, which any replica can say, so
-/// that they spread over all replicas by themselves as databases move on from one that failed. Of 100
-/// machines the busiest replica held 653 connections and took up 18 new ones a second; 1,723 and 65 when all
-/// were told to go to the leader.
+/// Directs further notices of the database to this replica. Any replica can answer the many notices that
+/// change nothing, so that databases spread over all replicas as they move away from failed ones. With 100
+/// machines the busiest replica held 653 connections and accepted 18 per second; sending all databases to the
+/// leader gave 1,723 and 65.
 OperatorReply OperatorApi::database_reply() const {
   json body = json::object();
   const raft::Node& node = replica_.node();
@@ -339,7 +341,7 @@
   return ok(body);
 }
 
-OperatorReply OperatorApi::check(const core::Result<std::string>& source) {
+OperatorReply OperatorApi::check_policy_source(const core::Result<std::string>& source) {
   if (!source) {
     return error_reply(source.error());
   }
@@ -350,7 +352,7 @@
   return ok({{"valid", true}});
 }
 
-awaitable<OperatorReply> OperatorApi::change(core::Result<configuration::Command> command) {
+awaitable<OperatorReply> OperatorApi::propose_change(core::Result<configuration::Command> command) {
   if (!command) {
     co_return error_reply(command.error());
   }
@@ -377,7 +379,7 @@
   const raft::Member* member = find_member(replica_.node().membership(), wanted.member.id);
   const json done = {{"revision", replica_.machine().configuration().revision}};
   if (wanted.add == (member != nullptr)) {
-    co_return ok(done);  // Resent: it is as asked already.
+    co_return ok(done);  // A resent request: the membership already is as requested.
   }
   const raft::Member subject = wanted.add ? wanted.member : *member;
   const auto action = wanted.add ? raft::MembershipAction::kAddLearner : raft::MembershipAction::kRemove;
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -22,8 +22,8 @@
   database.zone = core::ZoneName(fields.text("zone"));
   database.connection_limit = static_cast<std::uint32_t>(fields.number("connection_limit", kMaxConnections));
   database.slots = static_cast<std::uint32_t>(fields.number("slots", kMaxSlots));
-  fields.boolean_or("draining", false);  // Shown by GET; set by POST /v1/drain.
-  fields.no_others();
+  fields.boolean_or("draining", false);  // Accepted because GET shows it; only POST /v1/drain changes it.
+  fields.reject_unknown_fields();
   return database;
 }
 
@@ -32,38 +32,38 @@
   configuration::PutGroup put;
   put.name = name;
   put.policy = core::PolicyName(fields.text_or("policy", ""));
-  std::size_t number = 0;
+  std::size_t index = 0;
   for (const json& database : fields.array("databases")) {
-    put.databases.push_back(read_database(database, "spec.databases[" + std::to_string(number) + "]"));
-    ++number;
+    put.databases.push_back(read_database(database, "spec.databases[" + std::to_string(index) + "]"));
+    ++index;
   }
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
 configuration::PutZone read_zone_spec(const core::ZoneName& name, const json& spec) {
   JsonFields fields(spec, "spec");
   configuration::PutZone put{name, core::RegionName(fields.text("region"))};
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
 configuration::PutPolicy read_policy_spec(const core::PolicyName& name, const json& spec) {
   JsonFields fields(spec, "spec");
   configuration::PutPolicy put{name, fields.text("source")};
-  fields.no_others();
+  fields.reject_unknown_fields();
   return put;
 }
 
 core::RequestKey read_key(JsonFields& fields) {
   const std::string key = fields.text("key");
   if (key.empty()) {
-    throw BadField{"body.key must not be empty: it makes a resent change recognisable."};
+    throw BadField{"body.key must not be empty: it identifies the change when it is sent again."};
   }
   return core::RequestKey(key);
 }
 
-/// Reads {"revision","key","spec"}.
+/// Parses a body {"revision", "key", "spec"}.
 template <typename ReadSpec>
 core::Result<configuration::Command> parse_put(const std::string& body, ReadSpec read_spec) {
   return parse_fields(body, [&read_spec](const json& value) {
@@ -72,7 +72,7 @@
     command.key = read_key(fields);
     command.expected_revision = fields.number("revision", kMaxRevision);
     command.operation = read_spec(fields.object("spec"));
-    fields.no_others();
+    fields.reject_unknown_fields();
     return command;
   });
 }
@@ -123,7 +123,7 @@
     const std::string kind = fields.text("kind");
     const std::string name = fields.text("name");
     command.operation = drain_operation(kind, name, fields.boolean_or("leaving", true));
-    fields.no_others();
+    fields.reject_unknown_fields();
     return command;
   });
 }
@@ -132,7 +132,7 @@
   return parse_fields(body, [](const json& value) {
     JsonFields fields(value, "body");
     std::string source = fields.text("source");
-    fields.no_others();
+    fields.reject_unknown_fields();
     return source;
   });
 }
@@ -156,7 +156,7 @@
       }
       request.member.replaces = core::ControlId(fields.text_or("replaces", ""));
     }
-    fields.no_others();
+    fields.reject_unknown_fields();
     return request;
   });
 }
--- a/src/control/status_json.hpp
+++ b/src/control/status_json.hpp
@@ -1,4 +1,4 @@
-// The fleet's status as the leader sees it.
+// Status of the whole fleet as the leader knows it.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace pipitpond::control {
 
-/// Body of GET /v1/status.
+/// Renders the body of GET /v1/status.
 nlohmann::json status_json(const Replica& replica, const LeaderDuties& duties, core::Instant now);
 
 }  // namespace pipitpond::control
--- a/tests/control/fetch_replies_test.cpp
+++ b/tests/control/fetch_replies_test.cpp
@@ -20,7 +20,7 @@
     ASSERT_FALSE(machine_.apply(++index_, command).error);
   }
 
-  /// Two policies, as two revisions, whose texts hardly compress.
+  /// Adds two policies, each as a revision of its own, whose random texts hardly compress.
   void put_long_policies() {
     std::mt19937_64 random(1);
     for (const char* name : {"first", "second"}) {
@@ -43,7 +43,7 @@
   std::uint64_t index_ = 0;
 };
 
-TEST_F(FetchRepliesTest, LaterRevisionIsInTheNextAnswerToTheSameQuestion) {
+TEST_F(FetchRepliesTest, NextReplyToTheSameRequestContainsLaterRevisions) {
   put_zone("a");
   put_zone("b");
   EXPECT_EQ(after(1).changes.size(), 1U);
@@ -54,8 +54,8 @@
   EXPECT_EQ(after(2).changes.size(), 1U);
 }
 
-TEST_F(FetchRepliesTest, ManyDifferentQuestionsAreAllAnswered) {
-  constexpr protocol::Revision kRevisions = 3 * kMaxKeptReplies;
+TEST_F(FetchRepliesTest, RepliesAreCompleteForMoreRevisionsThanAreCached) {
+  constexpr protocol::Revision kRevisions = 3 * kMaxCachedReplies;
   for (protocol::Revision revision = 1; revision <= kRevisions; ++revision) {
     put_zone("z" + std::to_string(revision));
   }
@@ -64,8 +64,8 @@
   }
 }
 
-/// All pages of the answer that begins with `page`, as a daemon asks for them.
-std::string collect(FetchReplies& replies, protocol::FetchPage page) {
+/// Fetches the remaining pages of a reply as a daemon does, and returns the whole reply.
+std::string fetch_all_pages(FetchReplies& replies, protocol::FetchPage page) {
   std::string bytes = page.bytes;
   while (bytes.size() < page.total) {
     const protocol::FetchRequest request{core::DaemonId("d"), 0, page.revision, bytes.size()};
@@ -76,7 +76,7 @@
   return bytes;
 }
 
-TEST_F(FetchRepliesTest, ALongAnswerComesInPagesThoughTheRevisionGrowsMeanwhile) {
+TEST_F(FetchRepliesTest, LongReplyIsServedInPagesWhileTheRevisionAdvances) {
   put_long_policies();
   const std::string whole = replies_.after(0);
   ASSERT_GT(whole.size(), 2 * kFetchPageBytes);
@@ -87,19 +87,19 @@
   const protocol::FetchPage second = replies_.page({core::DaemonId("d"), 0, first.revision, kFetchPageBytes});
   EXPECT_EQ(second.revision, first.revision);
   EXPECT_EQ(second.newest, first.revision + 1);
-  EXPECT_EQ(collect(replies_, first), whole);
+  EXPECT_EQ(fetch_all_pages(replies_, first), whole);
 }
 
-TEST_F(FetchRepliesTest, AnAnswerThatIsNotKeptBeginsAnew) {
+TEST_F(FetchRepliesTest, ContinuationOfAReplyThatIsNotKeptStartsOver) {
   put_long_policies();
   const protocol::FetchPage page = replies_.page({core::DaemonId("d"), 0, 77, 5000});
   EXPECT_EQ(page.offset, 0U);
   EXPECT_EQ(page.revision, 2U);
   const protocol::FetchPage beyond = replies_.page({core::DaemonId("d"), 0, 2, 1UL << 40U});
-  EXPECT_EQ(beyond.offset, 0U) << "an offset over the end";
+  EXPECT_EQ(beyond.offset, 0U) << "an offset beyond the end of the reply";
 }
 
-TEST_F(FetchRepliesTest, AReplicaThatIsAskedForNothingNamesItsRevision) {
+TEST_F(FetchRepliesTest, RequestAfterTheMaximumRevisionReturnsTheCurrentRevision) {
   put_zone("a");
   const protocol::FetchPage page =
       replies_.page({core::DaemonId("d"), std::numeric_limits<protocol::Revision>::max(), 0, 0});
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -10,15 +10,15 @@
 namespace pipitpond::control {
 namespace {
 
-/// Three replicas with their interfaces; followers pass requests on by a call.
+/// Three replicas with an OperatorApi each. Followers forward requests to the leader by a function call.
 class OperatorApiTest : public ::testing::Test {
  protected:
   OperatorApiTest() {
     leader_ = cluster_.wait_for_leader();
     for (const std::string& name : cluster_.names()) {
       duties_[name] = std::make_unique<LeaderDuties>(
-          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallCallbacks answers) {
-            return std::make_unique<HttpDatabaseCalls>(io_, DatabaseCallTimeouts{}, std::move(answers));
+          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallCallbacks callbacks) {
+            return std::make_unique<HttpDatabaseCalls>(io_, DatabaseCallTimeouts{}, std::move(callbacks));
           });
       apis_[name] = std::make_unique<OperatorApi>(
           io_, cluster_.replica(name), *duties_[name],
@@ -57,21 +57,21 @@
   int forwarded_ = 0;
 };
 
-TEST_F(OperatorApiTest, DatabasesStayWithTheReplicaThatAnsweredAndCostTheLeaderNothing) {
+TEST_F(OperatorApiTest, FollowerAnswersUnchangedDatabaseNoticesWithoutTheLeader) {
   const std::string follower = leader_ == "c1" ? "c2" : "c1";
   const auto registered = heartbeat(follower);
   EXPECT_EQ(registered.status, 200U);
   EXPECT_EQ(forwarded_, 1);
-  EXPECT_EQ(next_of(registered), core::to_string(operators_of(follower)))
-      << "not the leader that carried it out";
+  EXPECT_EQ(next_of(registered), core::to_string(operator_endpoint(follower)))
+      << "the reply must not direct the database to the leader";
   ASSERT_TRUE(
       run_until(io_, [&] { return !cluster_.replica(follower).machine().configuration().groups.empty(); }));
   for (int times = 0; times < 5; ++times) {
-    EXPECT_EQ(next_of(heartbeat(follower)), core::to_string(operators_of(follower)));
+    EXPECT_EQ(next_of(heartbeat(follower)), core::to_string(operator_endpoint(follower)));
   }
-  EXPECT_EQ(forwarded_, 1) << "what tells nothing new goes no further";
+  EXPECT_EQ(forwarded_, 1) << "a notice that changes nothing must not be forwarded";
   EXPECT_EQ(heartbeat(follower, true).status, 200U);
-  EXPECT_EQ(forwarded_, 2) << "a change does";
+  EXPECT_EQ(forwarded_, 2) << "a notice that changes something must be forwarded";
 }
 
 }  // namespace
--- a/tests/control_processes/disk_test.cpp
+++ b/tests/control_processes/disk_test.cpp
@@ -1,4 +1,4 @@
-// What a control machine does with a disk that was lost, torn or corrupted.
+// Restart of a control machine whose data folder was lost, has a torn log tail or is corrupt.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(ControlProcesses, AWipedMachineComesBackUnderANewIdentityAndASecondLossIsSurvived) {
+TEST(ControlProcesses, WipedMachineRejoinsUnderANewIdentityAndCountsForTheQuorum) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 10);
   const std::size_t leader = cluster.wait_for_leader();
@@ -75,14 +75,14 @@
   EXPECT_TRUE(put && put->accepted());
 }
 
-TEST(ControlProcesses, ATornLogTailIsCutOff) {
+TEST(ControlProcesses, TornLogTailIsTruncatedAtRestart) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 5);
   const std::size_t torn = (cluster.wait_for_leader() + 1) % ControlCluster::kMachines;
   cluster.kill(torn);
   const auto segment = last_segment(cluster.data_folder(torn));
   ASSERT_FALSE(segment.empty());
-  // What a crash in the middle of a write leaves: the first bytes of a frame.
+  // A crash in the middle of a write leaves the first bytes of a frame.
   std::string bytes;
   {
     std::ifstream file(segment, std::ios::binary);
@@ -92,14 +92,14 @@
   cluster.start(torn);
   EXPECT_TRUE(wait_for([&] { return cluster.region(torn, "zone-4") == "kingston"; }));
 
-  // It counts again: with it alone the other two can lose one.
+  // It counts for the quorum again, so that one of the other two can be lost.
   cluster.kill((torn + 1) % ControlCluster::kMachines);
   cluster.wait_for_leader({torn, (torn + 2) % ControlCluster::kMachines});
   const auto put = cluster.put_zone(torn, "hall-1", 0, "k");
   EXPECT_TRUE(put && put->accepted());
 }
 
-TEST(ControlProcesses, ACorruptLogIsRefusedWithARemedy) {
+TEST(ControlProcesses, CorruptLogFailsTheStartWithARemedy) {
   ControlCluster cluster;
   make_changes(cluster, "zone-", 5);
   const std::size_t corrupt = (cluster.wait_for_leader() + 1) % ControlCluster::kMachines;
@@ -108,7 +108,7 @@
   const auto segment = last_segment(cluster.data_folder(corrupt));
   ASSERT_FALSE(segment.empty());
   {
-    // In the first record: damage to the last one can't be told from a torn tail.
+    // In the first record, because damage to the last one can't be distinguished from a torn tail.
     constexpr std::streamoff kDamagedByte = 20;
     std::fstream file(segment, std::ios::binary | std::ios::in | std::ios::out);
     file.seekg(kDamagedByte);
@@ -116,12 +116,12 @@
     file.seekp(kDamagedByte);
     file.put(byte);
   }
-  const auto ended = cluster.run_to_end(corrupt);
+  const auto ended = cluster.run_until_exit(corrupt);
   EXPECT_GT(ended.exit_code, 0);
   EXPECT_NE(ended.output.find("can't be trusted"), std::string::npos) << ended.output;
   EXPECT_NE(ended.output.find("Move the data folder away"), std::string::npos) << ended.output;
 
-  // The remedy works: with an empty folder the machine joins anew.
+  // The remedy works: with an empty folder the machine joins again.
   cluster.wipe(corrupt);
   cluster.start(corrupt);
   EXPECT_TRUE(wait_for([&] { return cluster.region(corrupt, "zone-4") == "kingston"; }));
