--- a/src/pooling/caller_access.hpp
+++ b/src/pooling/caller_access.hpp
@@ -1,5 +1,6 @@
-// Who may ask what of this daemon: callers' keys and their tenants' quotas, by the configuration in force.
-// Judges keys itself and asks the tenants' homes for the right to run an operation. Single-threaded.
+// Access control for callers: checks API keys and enforces tenants' quotas by the configuration in force.
+// Keys are checked locally; quota comes from the tenant's homes, the daemons that count its operations.
+// Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -17,46 +18,47 @@
 
 namespace pipitpond::pooling {
 
-/// What operators set.
+/// Limits that operators configure.
 struct AccessOptions {
   tenancy::AccessLimits keys;
   tenancy::QuotaLimits quotas;
 };
 
-/// Statements and sessions that were not let in since the start.
+/// Statements and sessions that were refused since the start, by reason.
 struct AccessCounters {
   std::uint64_t unknown_key = 0;
   std::uint64_t keys_not_certain = 0;
   std::uint64_t over_quota = 0;
-  std::uint64_t quota_not_told = 0;  ///< No home could be asked.
+  std::uint64_t quota_not_told = 0;  ///< None of the tenant's homes could answer.
 };
 
-/// Access of one daemon's callers.
+/// Access control for the callers of one daemon.
 class CallerAccess {
  public:
   CallerAccess(boost::asio::io_context& io, agent::Agent& agent, core::DaemonId self, core::ZoneName zone,
                AccessOptions options);
 
-  /// A newer configuration is in force.
+  /// Takes over a newer configuration.
   void apply(core::Instant now, const protocol::Configuration& configuration);
-  /// This daemon leaves: no longer a home of tenants.
+  /// Stops granting operations as a home, because this daemon leaves the cluster.
   void stop() { home_.stop(); }
 
-  /// Judges a key by the table in force. Call it again right before a statement is sent.
+  /// Checks a key against the table in force. Must be repeated right before a statement is sent.
   [[nodiscard]] tenancy::Access judge(const protocol::Route& route, const protocol::KeyDigest& key,
                                       core::Instant now) const;
-  /// True while nothing but a key that nobody holds keeps callers away.
+  /// True if the key table is recent enough to decide on keys, or if no keys are required. While false, even
+  /// callers with a valid key are refused.
   [[nodiscard]] bool keys_are_certain(core::Instant now) const;
-  /// Takes the right to run one operation of a tenant: kGranted at once for those without a quota.
+  /// Takes one operation from a tenant's quota. Tenants without a quota get kGranted at once.
   boost::asio::awaitable<QuotaAnswer> take_operation(QuotaAsked asked);
 
-  /// An operation that was taken surely did not run.
+  /// Returns a granted operation that definitely did not run.
   void give_back(const QuotaReceipt& receipt);
 
-  /// Answers another daemon that takes this one for a tenant's home.
+  /// Answers a daemon that asks this one as a home of a tenant.
   [[nodiscard]] QuotaReply answer(core::Instant now, const QuotaRequest& request);
 
-  /// How long ago the configuration was last known to be complete.
+  /// Time since the configuration was last known to be complete.
   [[nodiscard]] core::Duration proof_age(core::Instant now) const { return now - agent_.complete_until(); }
   void count(tenancy::Verdict verdict);
   void count(const QuotaAnswer& answer);
@@ -74,7 +76,7 @@
   QuotaAsker asker_;
   TakeOwn take_own_;
   std::uint64_t table_version_ = 0;
-  bool admitted_ = false;  ///< This life of the daemon, as last seen.
+  bool admitted_ = false;  ///< The configuration lists this incarnation of the daemon.
   AccessCounters counters_;
 };
 
--- a/src/pooling/caller_session.cpp
+++ b/src/pooling/caller_session.cpp
@@ -69,7 +69,7 @@
     case StatementKind::kForget:
       co_return forget(statement);
     case StatementKind::kReset:
-      co_return failed_reply(FailureCode::kBad, "not for callers", state());
+      co_return failed_reply(FailureCode::kBad, "RESET is reserved for the proxy", state());
     default:
       break;
   }
@@ -92,7 +92,7 @@
   co_return co_await run_first(std::move(statement));
 }
 
-// --- Answered here
+// --- Statements answered without a database
 // -------------------------------------------------------------------------------------------
 
 StatementReply CallerSession::set_value(const Statement& statement) {
@@ -110,7 +110,8 @@
   return succeeded_here(state());
 }
 
-/// The end of a failed transaction ends it, and says so; nothing of it is kept. All else is refused.
+/// COMMIT and ROLLBACK end a failed transaction, whose changes are discarded; a COMMIT is answered with
+/// kAborted. All other statements are refused.
 StatementReply CallerSession::end_failed_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
     leave_transaction();
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -1,5 +1,6 @@
-// One caller's session: its values and prepared statements, the transaction it is in, and the way of each
-// statement to a database and back. Sessions share the pools' connections; a transaction keeps one to itself.
+// One caller's session: its session values, prepared statements and open transaction. Routes each statement
+// to a database and retries where that is safe. Sessions share pooled connections; a transaction holds one
+// exclusively.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -23,7 +24,7 @@
 
 class CallerSession;
 
-/// What all sessions of a daemon share.
+/// Services shared by all sessions of a daemon.
 struct SessionServices {
   boost::asio::io_context& io;
   Backends& backends;
@@ -31,39 +32,39 @@
   CallerAccess& access;
   PoolingCounters& counters;
   StatementTimes& times;
-  std::set<CallerSession*> sessions;  ///< All that are open.
+  std::set<CallerSession*> sessions;  ///< All open sessions.
 };
 
-/// A session. Runs one statement at a time; must outlive a statement that runs.
+/// Runs one statement at a time. Must outlive a running statement.
 class CallerSession {
  public:
-  /// `key`: the digest of the caller's key; empty where none is needed.
+  /// `key`: digest of the caller's API key; empty if no key is required.
   CallerSession(SessionServices& services, std::string database, protocol::KeyDigest key = {});
   ~CallerSession();
   CallerSession(const CallerSession&) = delete;
   CallerSession& operator=(const CallerSession&) = delete;
 
-  /// Runs a statement and gives its answer. Nothing is held back: what is given up on is answered at once.
+  /// Runs a statement and returns its reply. A statement that is given up is answered at once, not at its
+  /// timeout.
   boost::asio::awaitable<StatementReply> run(Statement statement);
 
-  /// Ends a transaction whose caller has rested for the limit of the routes. The caller learns of it with the
-  /// next statement.
+  /// Aborts the transaction if it has been idle for the route table's limit. The caller learns of this with
+  /// its next statement.
   void end_transaction_when_idle(core::Instant now);
-  /// Ends an open transaction between two statements, because the daemon stops.
+  /// Aborts the transaction if no statement is running, because the daemon stops.
   void end_transaction_for_stop();
 
   [[nodiscard]] TransactionState state() const;
-  /// A statement is running.
   [[nodiscard]] bool running() const { return running_; }
 
  private:
-  /// A transaction and the connection that it keeps.
+  /// An open transaction and the connection that it holds.
   struct Transaction {
     Transaction(protocol::Route its_route, core::TenantName its_tenant, BackendChoice its_choice,
                 std::unique_ptr<StatementLease> its_lease);
 
     protocol::Route route;
-    core::TenantName tenant;                ///< For whom it was begun.
+    core::TenantName tenant;                ///< The tenant that began it.
     std::unique_ptr<StatementLease> lease;  ///< Null once the connection is lost.
     BackendChoice choice;
     bool failed;
@@ -71,30 +72,31 @@
     core::Instant rested_since;
   };
 
-  /// Where a transaction runs.
+  /// The database and route of a transaction.
   struct TransactionPlace {
     BackendChoice choice;
     protocol::Route route;
   };
 
-  /// One statement outside a transaction, or the begin of one, while a database is sought for it.
+  /// State of a statement outside a transaction, or of a BEGIN, across its attempts at databases.
   struct Search {
     protocol::Route route;
     tenancy::Access access;
     Statement statement;
     core::Instant started;
-    core::Instant deadline;                     ///< Of the statement's run.
-    core::Instant goal = core::Instant::max();  ///< After it, the answer is late.
-    core::Instant stop_waiting;                 ///< Without a database until then, it is given up.
+    core::Instant deadline;                     ///< End of the statement's timeout.
+    core::Instant goal = core::Instant::max();  ///< A later answer misses the route's goal.
+    core::Instant stop_waiting;                 ///< Given up if no database has accepted it by then.
     bool needs_primary = false;
-    std::set<core::DatabaseId> avoided;
-    std::optional<core::LogPosition> after;  ///< That the log of the database last asked had to reach.
-    std::uint32_t failed_reads = 0;
-    std::optional<QuotaReceipt> quota;  ///< Of the operation that its tenant's homes granted.
-    bool may_have_run = false;          ///< At some database, whatever the answer says.
+    std::set<core::DatabaseId> avoided;      ///< Databases that failed for this statement.
+    std::optional<core::LogPosition> after;  ///< Log position required of the last database.
+    std::uint32_t failed_reads = 0;          ///< Runs of a read that failed.
+    std::optional<QuotaReceipt> quota;       ///< For the operation granted by the tenant's homes.
+    bool may_have_run = false;               ///< At any database, whatever the last reply says.
     Failure last_failure;
-    core::Duration pause{};  ///< Before the next attempt.
-    /// A read's position must still cover its staleness after this time: how long it may wait elsewhere.
+    core::Duration pause{};  ///< Delay before the next attempt.
+    /// How long a read may queue at another daemon: its position must still satisfy the staleness bound after
+    /// that time.
     core::Duration longest_wait{};
     RequestTrace trace{core::Instant{}};
   };
@@ -107,15 +109,14 @@
   StatementReply end_failed_transaction(const Statement& statement);
 
   boost::asio::awaitable<StatementReply> run_first(Statement statement);
-  /// Judges the caller's key, and takes an operation of its tenant's quota. A refusal: nothing else is to be
-  /// done.
+  /// Checks the caller's key and takes one operation from its tenant's quota. Returns the reply if refused.
   boost::asio::awaitable<std::optional<StatementReply>> refuse_or_admit(Search& search);
-  /// The refusal of a key that may not ask now; nothing: it may, for the tenant that the search was begun
-  /// for.
+  /// Checks the caller's key. Returns the reply if it is refused, nothing if it is valid and still belongs to
+  /// the tenant that the search began with.
   std::optional<StatementReply> refuse_key(Search& search) const;
   std::optional<StatementReply> refuse_key_in_transaction(const Statement& statement);
   boost::asio::awaitable<StatementReply> search_until_answered(Search& search);
-  /// Gives the tenant's operation back when the statement surely did not run anywhere.
+  /// Returns the operation to the tenant's quota if the statement definitely did not run at any database.
   void give_back_if_not_run(const Search& search, const StatementReply& reply) const;
   void write_trace(const Search& search, const StatementReply& reply) const;
   void write_transaction_failure(const Statement& statement, core::Instant sent,
@@ -123,9 +124,10 @@
                                  const StatementReply& reply) const;
   std::optional<Search> begin_search(Statement statement) const;
   [[nodiscard]] BackendNeed need_of(const Search& search, core::Instant now) const;
-  /// A read that only the primary can serve, because no position is known that a replica would need.
+  /// True for a read that only the primary can serve, because no log position is known to require of a
+  /// replica.
   [[nodiscard]] static bool lacks_position(const Search& search, const BackendNeed& need);
-  /// Why a read must wait before it is sent anywhere; null: it need not.
+  /// Why a read must not be sent to any database yet; null if it may.
   [[nodiscard]] const char* reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now);
   [[nodiscard]] bool surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
                                   core::Instant now) const;
--- a/src/pooling/caller_session_access.cpp
+++ b/src/pooling/caller_session_access.cpp
@@ -1,4 +1,4 @@
-// Whether a caller's session may have a statement run: its key, and its tenant's quota.
+// Admission of a session's statements: checks the caller's key and the tenant's quota.
 #include <utility>
 
 #include "logging/logging.hpp"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// When a caller may come back after keys were not certain here; other daemons may serve it at once.
+/// Retry hint when the key table here may be out of date; other daemons may serve the caller at once.
 constexpr core::Duration kKeysComeBack = std::chrono::milliseconds(200);
 
 std::string come_back_in(core::Duration duration, const std::string& reason) {
@@ -19,9 +19,9 @@
 
 StatementReply refusal_of(tenancy::Verdict verdict) {
   if (verdict == tenancy::Verdict::kUnknownKey) {
-    return failed_reply(FailureCode::kDenied, "nobody holds this key", TransactionState::kIdle);
+    return failed_reply(FailureCode::kDenied, "no tenant holds this key", TransactionState::kIdle);
   }
-  const std::string text = come_back_in(kKeysComeBack, "this daemon can't be sure of the keys");
+  const std::string text = come_back_in(kKeysComeBack, "this daemon's key table may be out of date");
   return failed_reply(FailureCode::kBusy, text, TransactionState::kIdle);
 }
 
@@ -42,7 +42,8 @@
   const bool allowed = access.verdict == tenancy::Verdict::kAllowed;
   const bool other_tenant = allowed && begun && access.tenant != search.access.tenant;
   if (other_tenant) {
-    access.verdict = tenancy::Verdict::kUncertain;  // Its key moved meanwhile: it is to ask again.
+    access.verdict =
+        tenancy::Verdict::kUncertain;  // The key moved to another tenant meanwhile: the caller must retry.
   }
   if (access.verdict == tenancy::Verdict::kAllowed) {
     search.access = std::move(access);
@@ -74,15 +75,16 @@
   services_.access.count(answer);
   const bool over = answer.outcome == QuotaOutcome::kOverQuota;
   const char* reason = over ? "over_quota" : "quota_not_told";
-  const std::string text = come_back_in(
-      answer.retry_in, over ? "the tenant has used up its quota" : "no home of the quota answers");
+  const std::string text =
+      come_back_in(answer.retry_in, over ? "the tenant has used up its quota"
+                                         : "no daemon that grants the tenant's quota answered");
   log_refusal(search.statement, search.access.tenant, reason,
               services_.access.proof_age(core::BootClock::now()), answer.retry_in);
   co_return failed_reply(over ? FailureCode::kOverQuota : FailureCode::kBusy, text, TransactionState::kIdle);
 }
 
-/// A transaction whose key went, or came to another tenant, ends: its connection belongs to the tenant for
-/// which it was begun. Its rollback is always carried out.
+/// Ends a transaction whose key was removed or moved to another tenant: its connection belongs to the tenant
+/// that began it. A ROLLBACK is always allowed.
 std::optional<StatementReply> CallerSession::refuse_key_in_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
     return std::nullopt;
--- a/src/pooling/caller_session_search.cpp
+++ b/src/pooling/caller_session_search.cpp
@@ -1,5 +1,5 @@
-// The first statement of a caller's session, or the begin of a transaction: seeks a database that can serve
-// it, again and again within its time, and judges the answer.
+// Statements outside transactions, and BEGIN: chooses a database that can serve the statement, retries within
+// its timeout, and checks that the answer is recent enough.
 #include <algorithm>
 #include <utility>
 
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// A statement that finds no database is given up after this part of its time, so that its caller has time
-/// left to come back: numerator and denominator.
+/// Fraction of its timeout after which a statement without a database is given up, so that the caller has
+/// time left to retry.
 constexpr int kWaitingShareNumerator = 2;
 constexpr int kWaitingShareDenominator = 5;
-/// A read that failed at one database may still seek another one for this long.
+/// A read that failed at one database may look for another one for this long.
 constexpr core::Duration kSecondSearch = std::chrono::milliseconds(150);
-/// Reads that ran and failed are run this often in all.
+/// Most runs of a read, including the first, if each of them fails.
 constexpr std::uint32_t kReadAttempts = 3;
-/// Statements wait for a new primary while one may be expected within this time of the old one's loss.
+/// A failover usually completes within this time of the primary's loss. Statements wait for the new primary
+/// until then.
 constexpr core::Duration kUsualPrimaryChange = std::chrono::milliseconds(3000);
 constexpr core::Duration kBusyPause = std::chrono::milliseconds(10);
 constexpr core::Duration kNoBackendPause = std::chrono::milliseconds(15);
 constexpr core::Duration kCertaintyPause = std::chrono::milliseconds(10);
-/// When a caller may come back after its statement was given up.
+/// Retry hint for a caller whose statement was given up.
 constexpr core::Duration kComeBackAfter = std::chrono::milliseconds(100);
 
 std::string come_back_text(const std::string& reason) {
@@ -56,7 +57,7 @@
                          statement.kind == StatementKind::kBegin;
   search.route = std::move(*route);
   search.statement = std::move(statement);
-  search.last_failure = Failure{FailureCode::kBusy, "no database can serve it now"};
+  search.last_failure = Failure{FailureCode::kBusy, "no database can serve the statement now"};
   return search;
 }
 
@@ -83,7 +84,7 @@
       co_return std::move(*reply);
     }
     const core::Instant now = core::BootClock::now();
-    // A change of primary is soon over, or takes long: waiting on helps nobody then.
+    // A failover that exceeds its usual time tends to take long, so further waiting is of no use.
     const bool hopeless = services_.backends.without_primary(search.route.group, now) >= kUsualPrimaryChange;
     if (now >= search.stop_waiting || hopeless) {
       co_return give_up(search);
@@ -95,7 +96,8 @@
   }
 }
 
-/// Failures, and answers that came later than the route's goal. What only the caller got wrong is not told.
+/// Records the statement's time, and logs the trace of failures and of answers later than the route's goal.
+/// Errors that are answered before a route is found leave no trace.
 void CallerSession::write_trace(const Search& search, const StatementReply& reply) const {
   const core::Instant now = core::BootClock::now();
   const core::Duration goal = std::chrono::milliseconds(search.route.goal_ms);
@@ -138,9 +140,9 @@
   return !need.primary && !need.after && !may_write(search.statement);
 }
 
-/// Only the primary can serve a read, or begin a transaction, for which no position is known. One such read
-/// at a time gives the position for all. Without a lease the primary's answer would not be certain, so that
-/// the databases are asked first who it is.
+/// Without a known position, only the primary can serve a read or begin a transaction. One such read at a
+/// time fetches the position for all. Without a lease from control the primary may have been replaced, so the
+/// databases are first asked which of them is the primary.
 const char* CallerSession::reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now) {
   if (may_write(search.statement) || need.after) {
     return nullptr;
@@ -151,18 +153,18 @@
   }
   if (!services_.backends.may_trust_primaries(now)) {
     services_.backends.ask_databases(group, search.started, now);
-    return "the primary is not certain";
+    return "the current primary is not confirmed";
   }
   if (!need.primary && services_.backends.awaits_position(group)) {
-    return "an owner was asked for the primary's position";
+    return "waiting for another daemon to report the primary's log position";
   }
   if (!need.primary && !services_.backends.take_position_seek(group, now)) {
-    return "another read asks for the primary's position";
+    return "another read is fetching the primary's log position";
   }
   return nullptr;
 }
 
-// Not part of the coroutine: GCC 12 destroys a temporary of such an initializer twice there.
+// A separate function because GCC 12 destroys a temporary of such an initializer twice in a coroutine.
 ConnectionRequest CallerSession::connection_request(const Search& search) const {
   ConnectionRequest request;
   request.priority = search.route.priority;
@@ -181,7 +183,7 @@
   }
   const core::Instant now = core::BootClock::now();
   if (auto refusal = refuse_key(search)) {
-    co_return refusal;  // It may have waited for long since it was admitted.
+    co_return refusal;  // The statement may have waited for long since it was admitted.
   }
   const BackendNeed need = need_of(search, now + search.longest_wait);
   if (const char* reason = reason_to_wait(search, need, now)) {
@@ -213,14 +215,14 @@
 awaitable<std::optional<StatementReply>> CallerSession::attempt_at(Search& search, BackendChoice choice,
                                                                    std::unique_ptr<StatementLease> lease) {
   const core::Instant sent = core::BootClock::now();
-  // The wait for the connection may have been long, and may go on: what was fresh enough when the database
-  // was chosen may not be any more when the statement runs.
+  // The wait for a connection may have been long and may continue at another daemon, so the position that
+  // satisfied the staleness bound when the database was chosen may be too old when the statement runs.
   if (auto refusal = refuse_key(search)) {
     co_return refusal;
   }
   const BackendNeed need = need_of(search, sent + lease->longest_wait());
   if (!choice.is_primary && lacks_position(search, need)) {
-    // A replica's answer would prove nothing. The next attempt leaves room for such a wait.
+    // A replica's answer would not be provably recent. The next attempt allows for such a wait.
     search.longest_wait = lease->longest_wait();
     co_return std::nullopt;
   }
@@ -247,13 +249,14 @@
   }
   if (reply.failure) {
     if (reply.failure->code == FailureCode::kNoStatement) {
-      lease->discard();  // The connection does not know a name that it was given.
+      lease->discard();  // The connection's prepared statements differ from its recorded state.
     }
     co_return on_failure(search, choice, std::move(reply));
   }
   if (!may_write(search.statement) && !surely_fresh(search, choice, need, now)) {
-    search.last_failure = Failure{FailureCode::kBusy, "the primary is not certain"};
-    search.trace.add(now, step_at(choice, TraceEvent::kNotCertain, "no lease, or a newer term"));
+    search.last_failure = Failure{FailureCode::kBusy, "the current primary is not confirmed"};
+    search.trace.add(now,
+                     step_at(choice, TraceEvent::kNotCertain, "no valid lease, or a newer term has begun"));
     search.pause = kNoBackendPause;
     if (begins_transaction(search.statement)) {
       lease->discard();
@@ -263,9 +266,9 @@
   co_return accept(search, choice, std::move(lease), std::move(reply));
 }
 
-/// A position that the database had to reach makes a read fresh, but for routes whose reads must see every
-/// write: there only the primary will do. That it is one is known by control's lease, or was shown by the
-/// databases after the read was asked for.
+/// A read is fresh if the database had to reach a required position. On routes whose reads must see every
+/// write only the primary qualifies, as confirmed by control's lease or by the databases after the read
+/// arrived.
 bool CallerSession::surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
                                  core::Instant now) const {
   const bool by_position = search.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
--- a/src/pooling/caller_session_transaction.cpp
+++ b/src/pooling/caller_session_transaction.cpp
@@ -1,4 +1,4 @@
-// Statements of a caller's session inside a transaction, and the transaction's end.
+// Statements inside a transaction, and the end of the transaction.
 #include <utility>
 
 #include "pooling/caller_session.hpp"
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Between attempts of a statement that a full database did not run.
+/// Delay between attempts of a statement that the database refused for want of a free slot.
 constexpr core::Duration kBusyTransactionPause = std::chrono::milliseconds(10);
-/// The part of a statement's time in which it is tried again: numerator and denominator.
+/// Fraction of a statement's timeout during which it is retried.
 constexpr int kRetryShareNumerator = 2;
 constexpr int kRetryShareDenominator = 5;
 
-/// The database was full and did not run the statement; the transaction is as it was.
+/// True if the database had no free slot and did not run the statement; the transaction is unchanged.
 bool may_try_again(const core::Result<StatementReply>& ran) {
   return ran && ran.value().failure && ran.value().failure->code == FailureCode::kBusy &&
          ran.value().state == TransactionState::kOpen;
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-/// A refusal for want of a slot would cost the caller the whole transaction and the database the work that it
-/// has put into it. So the statement is tried again for a while.
+/// Retries a statement that found no free slot: passing on the refusal would cost the caller the whole
+/// transaction and waste the work that the database has put into it.
 awaitable<core::Result<StatementReply>> CallerSession::run_on_lease(const Statement& statement,
                                                                     core::Instant deadline) {
   const core::Instant begun = core::BootClock::now();
@@ -92,7 +92,7 @@
   trace.write(now, subject, reply);
 }
 
-/// The database rolls back when the connection ends, so nothing is kept unless a commit may have arrived.
+/// The database rolls back when the connection closes, so no change is kept unless a COMMIT may have arrived.
 StatementReply CallerSession::on_transaction_lost(const Statement& statement, const core::Error& error) {
   const bool may_be_kept = statement.kind == StatementKind::kCommit && transaction_->wrote &&
                            error.kind != core::ErrorKind::kConnectionRefused;
--- a/src/pooling/daemon.cpp
+++ b/src/pooling/daemon.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-/// Without control's lease, and without a primary that its databases have shown, for this long, callers are
-/// better served by other daemons.
+/// A daemon reports itself not ready after this long without control's lease and without a primary confirmed
+/// by the databases: other daemons serve callers better.
 constexpr core::Duration kReadyWithoutLease = std::chrono::milliseconds(1500);
-/// While others learn that this daemon is not ready, new callers are still served: two missed questions and
-/// room.
+/// New callers are accepted for this long after the daemon reports itself not ready: long enough for two
+/// missed readiness checks, with a margin.
 constexpr core::Duration kStillAccepting = std::chrono::milliseconds(2200);
-/// Open transactions get this part of the grace to end.
+/// Divisor of the stop grace: open transactions may end within this part of it.
 constexpr int kTransactionsShare = 2;
-/// Kept back from the grace for saying farewell.
+/// Part of the stop grace reserved for telling other daemons and control of the departure.
 constexpr core::Duration kFarewell = std::chrono::milliseconds(600);
-/// For telling other daemons that what they still pass on here is not run; a part of kFarewell.
+/// Time for refusing statements that other daemons still forward; included in kFarewell.
 constexpr core::Duration kDrainPeers = std::chrono::milliseconds(250);
 constexpr core::Duration kDrainPoll = std::chrono::milliseconds(50);
-/// A session of which nothing was asked for so long is closed at a planned stop.
+/// A planned stop closes sessions that have been idle for this long.
 constexpr core::Duration kQuietBeforeClose = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -156,7 +156,7 @@
     access_.count(verdict);
     const bool unknown = verdict == tenancy::Verdict::kUnknownKey;
     return core::fail(unknown ? core::ErrorKind::kPermissionDenied : core::ErrorKind::kUnavailable,
-                      unknown ? "Nobody holds this key." : "This daemon can't be sure of the keys.",
+                      unknown ? "No tenant holds this key." : "This daemon's key table may be out of date.",
                       unknown ? "Use a key of a tenant." : "Try again at another daemon.");
   }
   return std::make_unique<CallerSession>(services_, database, key);
@@ -179,7 +179,7 @@
                     times_.text();
   } else {
     response.status = 404;
-    response.body = "There is " + options_.ready_path + " and /metrics.";
+    response.body = "Not found. Use " + options_.ready_path + " or /metrics.";
     response.content_type = "text/plain";
   }
   respond(std::move(response));
@@ -194,10 +194,10 @@
   }
   const core::Instant last_certain = std::max(lease_lost_since_, backends_.last_shown_primary());
   if (!had_lease_ && core::BootClock::now() - last_certain > kReadyWithoutLease) {
-    return "Control is out of reach.";
+    return "Control is unreachable, and the databases have not confirmed a primary.";
   }
   if (!access_.keys_are_certain(core::BootClock::now())) {
-    return "The callers' keys are not certain.";
+    return "The key table may be out of date.";
   }
   return {};
 }
@@ -234,7 +234,7 @@
   stopping_ = true;
   log->info("event=drain_begun sessions={} forwarded={}", listener_->sessions(), forwards_.in_progress());
   forwards_.refuse_new();
-  // Control learns of it at the end only: a leaving daemon has no share of the databases' connections.
+  // Control is told only at the end, because a leaving daemon loses its share of the databases' connections.
   co_await close_quiet_sessions(begun + kStillAccepting);
   listener_->stop_accepting();
   co_await close_quiet_sessions(begun + options_.stop_grace / kTransactionsShare);
@@ -253,7 +253,7 @@
   stopped();
 }
 
-/// Until then, or until there is no session left and no more callers come.
+/// Closes idle sessions until `until`, or until no session is left and no callers are accepted.
 awaitable<void> Daemon::close_quiet_sessions(core::Instant until) {
   while (core::BootClock::now() < until) {
     listener_->close_idle_sessions(kQuietBeforeClose);
--- a/src/pooling/daemon.hpp
+++ b/src/pooling/daemon.hpp
@@ -1,5 +1,5 @@
-// A proxy daemon that pools connections for callers' sessions: puts the parts together, tells whether it is
-// ready, and stops without cutting anything off.
+// A proxy daemon that pools database connections for callers' sessions: wires the components together,
+// reports readiness, and drains sessions before it stops.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -21,16 +21,15 @@
 
 namespace pipitpond::pooling {
 
-/// The adapters of one daemon.
+/// The protocol adapters of one daemon.
 struct DaemonAdapters {
   std::unique_ptr<BackendConnector> connector;
   MakeCallerListener make_listener;
 };
 
-/// A running daemon.
 class Daemon : public runtime::Daemon {
  public:
-  /// `settings` outlives the daemon: it is asked again when the settings were read again.
+  /// `settings` must outlive the daemon, which reads it again in reload().
   static core::Result<std::unique_ptr<Daemon>> start(boost::asio::io_context& io,
                                                      const PoolingSettings& settings,
                                                      DaemonAdapters adapters);
@@ -39,7 +38,7 @@
   Daemon& operator=(const Daemon&) = delete;
 
   void stop(std::function<void()> stopped) override;
-  /// Takes over other control seeds; all else needs a restart.
+  /// Applies changed control seeds; all other settings need a restart.
   void reload() override;
   [[nodiscard]] core::Duration stop_limit() const override { return options_.stop_grace; }
 
@@ -72,7 +71,7 @@
   SessionServices services_;
   ForwardService forwards_;
   std::unique_ptr<CallerListener> listener_;
-  std::unique_ptr<wire::Server> peers_;  ///< For daemons that pass statements on to this one.
+  std::unique_ptr<wire::Server> peers_;  ///< Serves requests of other daemons.
   std::unique_ptr<http::Server> admin_;
   core::Instant lease_lost_since_{};
   bool had_lease_ = false;
--- a/src/pooling/forward_messages.hpp
+++ b/src/pooling/forward_messages.hpp
@@ -1,4 +1,5 @@
-// Messages by which a daemon has statements run on the connections of another one. Packed with msgpack.
+// Messages between a daemon and an owner: a daemon that holds connections to a database and runs statements
+// on them for other daemons. Packed with msgpack.
 #pragma once
 
 #include <cstdint>
@@ -13,48 +14,48 @@
 
 namespace pipitpond::pooling {
 
-/// Names a transaction that an owner holds open for another daemon. Drawn at random from a large range at
-/// the owner's start, so that one of an earlier life names none of this life.
+/// Identifies a transaction that an owner holds open for another daemon. Counts up from a random start that
+/// the owner draws when its process starts, so that identifiers from before a restart match no transaction.
 using ForwardedTransaction = std::uint64_t;
 
-/// A statement to run. Answered with a ForwardedAnswer, or an error that says as StatementLease::run whether
-/// it may have been run.
+/// A statement to run. Answered with a ForwardedAnswer, or with an error whose kind says whether the
+/// statement may have run: it definitely did not for kUnavailable, kNoCapacity and kLeaving.
 struct ForwardedStatement {
   core::DatabaseId database;
-  ForwardedTransaction transaction = 0;  ///< 0: any connection will do.
-  SessionState session;                  ///< Its values, and of its prepared shapes the one that is executed.
+  ForwardedTransaction transaction = 0;  ///< 0: not in a transaction.
+  SessionState session;  ///< The session's values, and the prepared statement that is executed.
   Statement statement;
-  std::optional<core::LogPosition> after;  ///< See BackendStatement.
-  std::uint32_t priority = 0;              ///< 0 goes first.
-  std::uint32_t wait_ms = 0;               ///< For a connection.
-  std::uint32_t goal_ms = 0;               ///< After which an answer is late.
-  std::uint32_t timeout_ms = 0;            ///< For everything.
-  core::TenantName tenant;                 ///< Whose connection it must be; empty: nobody's in particular.
-  std::uint32_t waited_ms = 0;             ///< For a connection, before it was sent here.
+  std::optional<core::LogPosition> after;  ///< Required log position; see BackendStatement.
+  std::uint32_t priority = 0;              ///< 0 is the most urgent.
+  std::uint32_t wait_ms = 0;               ///< Longest wait for a connection at the owner.
+  std::uint32_t goal_ms = 0;               ///< An answer after this time is late.
+  std::uint32_t timeout_ms = 0;            ///< Total time, waiting included.
+  core::TenantName tenant;                 ///< Tenant whose connection is needed; empty: none.
+  std::uint32_t waited_ms = 0;             ///< Time waited for a connection before forwarding.
 
   MSGPACK_DEFINE(database, transaction, session, statement, after, priority, wait_ms, goal_ms, timeout_ms,
                  tenant, waited_ms);
 };
 
-/// What came of it.
+/// The reply to a forwarded statement.
 struct ForwardedAnswer {
   StatementReply reply;
-  ForwardedTransaction transaction = 0;  ///< The one that is open now; 0: none.
+  ForwardedTransaction transaction = 0;  ///< The transaction that is open now; 0: none.
 
   MSGPACK_DEFINE(reply, transaction);
 };
 
-/// Asks an owner for a database's status, asked for after this message arrived. Answered with a
+/// Asks an owner for the status of a database, to be fetched after this message arrives. Answered with a
 /// BackendStatus.
 struct ForwardedStatusRequest {
   core::DatabaseId database;
-  std::uint32_t timeout_ms = 0;  ///< For everything, the wait for a connection included.
+  std::uint32_t timeout_ms = 0;  ///< Total time, the wait for a connection included.
 
   MSGPACK_DEFINE(database, timeout_ms);
 };
 
-/// Asks an owner of a group's primary for positions that the primary has shown to it. Answered with a
-/// PositionReply.
+/// Asks an owner of connections to a group's primary for log positions that the primary has reported to it.
+/// Answered with a PositionReply.
 struct PositionRequest {
   core::GroupName group;
   std::uint32_t max_age_ms = 0;
@@ -62,7 +63,7 @@
   MSGPACK_DEFINE(group, max_age_ms);
 };
 
-/// A position that covers every write which was acknowledged `age_ms` before the request or earlier.
+/// A log position that includes every write acknowledged at least `age_ms` before the request.
 struct AgedPosition {
   std::uint32_t age_ms = 0;
   core::LogPosition position;
@@ -70,15 +71,15 @@
   MSGPACK_DEFINE(age_ms, position);
 };
 
-/// The oldest that is young enough, which most replicas have, and the newest, which serves longest. Empty
-/// when none is young enough.
+/// The oldest position within max_age_ms, which most replicas have reached, and the newest, which stays
+/// usable for longest. Empty if no known position is recent enough.
 struct PositionReply {
   std::vector<AgedPosition> positions;
 
   MSGPACK_DEFINE(positions);
 };
 
-/// The transaction is given up: its connection is to be closed.
+/// Tells the owner that the transaction is abandoned and its connection must be closed.
 struct ForwardedEnd {
   ForwardedTransaction transaction = 0;
 
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Leaves room for counting on; never 0, which names no transaction.
+/// A random start for transaction identifiers, with room to count up; never 0, which means no transaction.
 ForwardedTransaction first_transaction() {
   std::random_device random;
   const std::uint64_t high = random();
@@ -21,15 +21,15 @@
   return ((high << kHighShift) ^ low) | 1U;
 }
 
-/// The daemon whose transaction it is ends it first.
+/// Lets the daemon that forwarded a transaction end it first.
 constexpr core::Duration kIdleMargin = std::chrono::milliseconds(500);
 
-/// Of a statement that was not run.
+/// The error for a statement that was not run.
 core::Error not_run(std::string why) {
-  return core::Error{core::ErrorKind::kUnavailable, std::move(why), "Ask another owner, or try again.", 100};
+  return core::Error{core::ErrorKind::kUnavailable, std::move(why), "Use another owner, or try again.", 100};
 }
 
-/// Tells whether this daemon could not reach the database at all, or was only too busy.
+/// Keeps the distinction between an unreachable database and a lack of capacity at this daemon.
 core::Error not_run_here(const core::Error& error) {
   core::Error told = not_run(error.message);
   if (error.kind == core::ErrorKind::kNoCapacity) {
@@ -39,15 +39,15 @@
 }
 
 core::Error takes_no_new_work() {
-  return core::Error{core::ErrorKind::kLeaving, "This daemon is being stopped.", "Ask another owner.", 0};
+  return core::Error{core::ErrorKind::kLeaving, "This daemon is stopping.", "Use another owner.", 0};
 }
 
 core::Duration duration_of(std::uint32_t millis) {
   return std::chrono::milliseconds(millis);
 }
 
-/// `asked` outlives the request. Not part of a coroutine: GCC 12 destroys a temporary of such an initializer
-/// twice.
+/// `asked` must outlive the result. A separate function because GCC 12 destroys a temporary of such an
+/// initializer twice in a coroutine.
 ConnectionRequest connection_request(const ForwardedStatement& asked, core::Instant begun) {
   ConnectionRequest request;
   request.priority = asked.priority;
@@ -105,7 +105,7 @@
     co_return wire::pack(access_.answer(core::BootClock::now(), request.value()));
   }
   if (type != wire::MessageType::kStatement) {
-    co_return core::fail(core::ErrorKind::kInvalidArgument, "This daemon takes no such message.",
+    co_return core::fail(core::ErrorKind::kInvalidArgument, "This daemon does not support this message type.",
                          "Run the same version of pipitpond on every machine.");
   }
   auto asked = wire::unpack<ForwardedStatement>(body);
@@ -126,7 +126,7 @@
   const auto found = transactions_.find(asked.transaction);
   const bool known = found != transactions_.end() && found->second->peer == peer && !found->second->running;
   if (!known) {
-    co_return not_run("The transaction is not open here any more.");
+    co_return not_run("The transaction is no longer open at this daemon.");
   }
   HeldPointer held = found->second;
   co_return co_await run_in_transaction(std::move(held), std::move(asked));
@@ -139,7 +139,7 @@
   const core::Instant begun = core::BootClock::now();
   const std::shared_ptr<BackendPool> pool = backends_.pool(asked.database);
   if (!pool) {
-    co_return not_run("The database is not known here.");
+    co_return not_run("This daemon does not know the database.");
   }
   const ConnectionRequest request = connection_request(asked, begun);
   auto lease = co_await BackendPool::acquire(pool, request);
@@ -153,7 +153,7 @@
   co_return co_await run_in_transaction(std::move(held), std::move(asked));
 }
 
-/// Also of a first statement: it may open a transaction.
+/// Also runs statements outside transactions, as they may open one.
 awaitable<core::Result<std::string>> ForwardService::run_in_transaction(HeldPointer held,
                                                                         ForwardedStatement asked) {
   ++served_;
@@ -164,12 +164,12 @@
   held->running = false;
   held->rested_since = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
-    // For daemons that ask this one for positions: see Backends::ask_position.
+    // Other daemons ask this one for positions: see Backends::ask_position.
     const core::GroupName& group = held->choice->pool->address().group;
     backends_.note_position(group, *held->choice, sent, held->rested_since, *ran.value().position);
   }
   const bool open = ran && ran.value().state != TransactionState::kIdle;
-  // When whoever asked is gone, nobody would end the transaction.
+  // If the peer has disconnected, no one would end the transaction.
   const bool wanted = !held->given_up && peers_.contains(held->peer);
   if (!open || !wanted) {
     transactions_.erase(asked.transaction);
@@ -192,7 +192,7 @@
 awaitable<core::Result<std::string>> ForwardService::ask_status(ForwardedStatusRequest asked) {
   const std::shared_ptr<BackendPool> pool = backends_.pool(asked.database);
   if (!pool) {
-    co_return not_run("The database is not known here.");
+    co_return not_run("This daemon does not know the database.");
   }
   const auto status = co_await BackendPool::ask_status(pool, duration_of(asked.timeout_ms));
   if (!status) {
--- a/src/pooling/forward_service.hpp
+++ b/src/pooling/forward_service.hpp
@@ -1,5 +1,5 @@
-// Runs statements for daemons that own no connections to a database, and holds their transactions open.
-// Single-threaded.
+// Runs statements on this daemon's connections for other daemons, and holds their transactions open.
+// Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,37 +19,37 @@
 
 namespace pipitpond::pooling {
 
-/// The owner's side of a StatementForwarder.
+/// The server side of StatementForwarder, at an owner of connections.
 class ForwardService {
  public:
   ForwardService(Backends& backends, CallerAccess& access);
 
-  /// Handler and closing of a wire::Server.
+  /// Request handler and close callback of a wire::Server.
   boost::asio::awaitable<core::Result<std::string>> handle(wire::PeerId peer, wire::MessageType type,
                                                            std::string body);
   void peer_closed(wire::PeerId peer);
 
-  /// New statements are refused as not run; transactions go on.
+  /// From now on refuses new statements as not run. Open transactions continue.
   void refuse_new() { refuses_ = true; }
-  /// Ends the transactions between two statements, because the daemon stops.
+  /// Aborts the transactions in which no statement is running, because the daemon stops.
   void end_transactions();
-  /// Ends those that have rested for `limit` and a little longer: whoever asked for them should have done so,
-  /// but may be frozen or cut off. Zero: none.
+  /// Aborts transactions that have been idle for somewhat longer than `limit`. The daemon that forwarded them
+  /// should have ended them at the limit, but may be frozen or disconnected. Zero: no limit.
   void end_idle_transactions(core::Instant now, core::Duration limit);
 
-  /// Statements that run and transactions that are open.
+  /// Number of running statements and open transactions.
   [[nodiscard]] std::size_t in_progress() const { return running_ + transactions_.size(); }
-  /// Statements that were run for others since the start.
+  /// Statements run for other daemons since the start.
   [[nodiscard]] std::uint64_t served() const { return served_; }
 
  private:
-  /// A transaction of another daemon's caller.
+  /// A transaction held open for another daemon.
   struct Held {
     wire::PeerId peer = 0;
     std::unique_ptr<StatementLease> lease;
-    std::optional<BackendChoice> choice;  ///< What the database was when the lease was given.
+    std::optional<BackendChoice> choice;  ///< The database, as known when the lease was granted.
     bool running = false;
-    bool given_up = false;  ///< Nobody will go on with it.
+    bool given_up = false;  ///< Its daemon has ended it while a statement runs.
     core::Instant rested_since{};
   };
   using HeldPointer = std::shared_ptr<Held>;
@@ -65,7 +65,7 @@
   Backends& backends_;
   CallerAccess& access_;
   std::map<ForwardedTransaction, HeldPointer> transactions_;
-  std::set<wire::PeerId> peers_;  ///< That have sent a statement and are still connected.
+  std::set<wire::PeerId> peers_;  ///< Connected peers that have sent a statement.
   ForwardedTransaction last_transaction_;
   std::size_t running_ = 0;
   std::uint64_t served_ = 0;
--- a/src/pooling/metrics.hpp
+++ b/src/pooling/metrics.hpp
@@ -1,4 +1,4 @@
-// What a pooling daemon counts, and its page of metrics.
+// Counters and statement latencies of a pooling daemon.
 #pragma once
 
 #include <array>
@@ -25,20 +25,20 @@
   std::array<std::uint64_t, kFailureCodes> failures{};  ///< By FailureCode.
 };
 
-/// Times of callers' statements, by the kind of their route and their outcome.
+/// Latency histograms of callers' statements, by route kind and outcome.
 class StatementTimes {
  public:
   StatementTimes();
 
   void observe(protocol::RouteKind kind, bool succeeded, core::Duration taken);
-  /// In the text format of Prometheus.
+  /// The histograms in the Prometheus text format.
   [[nodiscard]] std::string text() const { return registry_.text(); }
 
  private:
   static constexpr std::size_t kKinds = 3;
 
   metrics::Registry registry_;
-  std::vector<metrics::Histogram> histograms_;  ///< By kind, failures before successes.
+  std::vector<metrics::Histogram> histograms_;  ///< Ordered by kind; for each, failures before successes.
 };
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/metrics_page.hpp
+++ b/src/pooling/metrics_page.hpp
@@ -1,4 +1,4 @@
-// The page of metrics of a pooling daemon.
+// The metrics page of a pooling daemon, in the Prometheus text format.
 #pragma once
 
 #include <cstddef>
--- a/src/pooling/options.cpp
+++ b/src/pooling/options.cpp
@@ -10,16 +10,16 @@
 
 constexpr settings::Range kPort{1, 65535};
 constexpr settings::Range kGraceMillis{1000, 3'600'000};
-/// A second is the least: a daemon hears from control each half second, and half a second is kept back.
+/// At least 1 s is needed: a daemon hears from control every 0.5 s, and 0.5 s are held in reserve.
 constexpr settings::Range kRevocationMillis{1500, 3'600'000};
 constexpr settings::Range kWindowMillis{100, 3'600'000};
 constexpr settings::Range kPercent{0, 1000};
-constexpr double kMostExcess = 10;  // As kPercent.
+constexpr double kMostExcess = 10;  // The same bound as kPercent.
 constexpr settings::Range kSlack{0, 1'000'000};
-/// A daemon that stood still for so long has no lease any more anyway.
+/// A daemon that was suspended for this long has lost its lease in any case.
 constexpr core::Duration kStandstillLimit = protocol::kDaemonLease;
 
-/// Nothing: it is no decimal between 0 and kMostExcess.
+/// Parses a decimal fraction. Empty if `text` is not a decimal between 0 and kMostExcess.
 std::optional<double> excess_from(const std::string& text) {
   double excess = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), excess);
@@ -99,7 +99,8 @@
                              "List the HTTP addresses of some control machines."};
   }
   if (!quota_excess_.empty() && !excess_from(quota_excess_)) {
-    return settings::Problem{"", "tenants.quota_excess", "is not a part", "Write a decimal from 0 to 10."};
+    return settings::Problem{"", "tenants.quota_excess", "is not a decimal fraction",
+                             "Write a decimal from 0 to 10."};
   }
   return std::nullopt;
 }
--- a/src/pooling/options.hpp
+++ b/src/pooling/options.hpp
@@ -14,30 +14,30 @@
 
 namespace pipitpond::pooling {
 
-/// What one process is told.
+/// Settings of one process.
 struct PoolingOptions {
   core::DaemonId id;
   core::ZoneName zone;
-  core::Endpoint callers;                     ///< Listens there for callers.
-  core::Endpoint admin;                       ///< Readiness and metrics.
-  core::Endpoint internal;                    ///< Where other daemons reach this one.
+  core::Endpoint callers;                     ///< Listen address for callers.
+  core::Endpoint admin;                       ///< Listen address for readiness and metrics.
+  core::Endpoint internal;                    ///< Listen address for other daemons.
   std::vector<core::Endpoint> control_seeds;  ///< HTTP addresses of some control machines.
-  std::uint16_t control_internal_port = 0;    ///< All of them use it for daemons.
-  std::string data_folder;                    ///< Empty: this machine has no disk.
+  std::uint16_t control_internal_port = 0;    ///< Port for daemons, the same on all of them.
+  std::string data_folder;                    ///< Empty: nothing is kept on disk.
   std::string ready_path = "/readyz";
-  core::Duration stop_grace = std::chrono::seconds(6);  ///< A planned stop takes no longer.
+  core::Duration stop_grace = std::chrono::seconds(6);  ///< Longest duration of a planned stop.
   AccessOptions access;
 
   [[nodiscard]] agent::AgentOptions agent_options() const;
 };
 
-/// Declares the settings.
+/// Declares, checks and reads the settings.
 class PoolingSettings {
  public:
   PoolingSettings();
 
   settings::Section& section() { return section_; }
-  /// The options, once the settings are assigned.
+  /// Valid once the settings have been loaded.
   [[nodiscard]] PoolingOptions options() const;
 
  private:
@@ -47,9 +47,9 @@
   PoolingOptions options_;
   std::string id_;
   std::string zone_;
-  core::Duration revocation_{};  ///< Zero: not told.
+  core::Duration revocation_{};  ///< Zero: not set.
   std::uint32_t quota_excess_percent_ = 10;
-  std::string quota_excess_;  ///< Empty: the percentage holds.
+  std::string quota_excess_;  ///< Decimal fraction; empty: the percentage applies.
 };
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/quota_asker.cpp
+++ b/src/pooling/quota_asker.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-// Not part of the coroutine: GCC 12 destroys a temporary of such an initializer twice there.
+// A separate function because GCC 12 destroys a temporary of such an initializer twice in a coroutine.
 std::string request_body(const QuotaAsked& asked, std::vector<GivenBackOperation> given_back,
                          std::uint32_t operations) {
   return wire::pack(QuotaRequest{asked.tenant, std::move(given_back), operations, asked.priority});
 }
 
-/// The answer to an operation that `home` granted.
+/// The answer for an operation granted by `home`.
 QuotaAnswer granted_by(const core::DaemonId& home, const core::TenantName& tenant,
                        tenancy::TokenNumber number) {
   QuotaAnswer answer;
@@ -136,7 +136,7 @@
     return CallersShare{};
   }
   const QuotaReply& reply = question.reply->value();
-  // A daemon that knows of single operations only does not tell how many.
+  // A daemon of an older version grants single operations and leaves `operations` at 0.
   const std::uint32_t granted = reply.granted ? std::max(reply.operations, 1U) : 0;
   if (index < granted) {
     return CallersShare{reply.number == 0 ? 0 : reply.number + index, {}};
@@ -157,7 +157,7 @@
   const core::Instant now = core::BootClock::now();
   const bool of_use = *question->reply && question->reply->value().is_home;
   if (of_use && now >= known.empty_until) {
-    // By itself: this coroutine's caller has its answer.
+    // Spawned separately, because the caller of this coroutine already has its answer.
     boost::asio::co_spawn(io_, ask_for_all(link, asked, next), boost::asio::detached);
     co_return;
   }
@@ -198,7 +198,7 @@
   Link& link = *found->second;
   for (auto& [asked, known] : link.tenants) {
     if (asked.tenant == receipt.operation.tenant) {
-      known.empty_until = {};  // There is one again.
+      known.empty_until = {};  // The returned operation is available again.
     }
   }
   link.given_back.push_back(std::move(receipt.operation));
--- a/src/pooling/quota_asker.hpp
+++ b/src/pooling/quota_asker.hpp
@@ -1,4 +1,5 @@
-// Asks tenants' homes for the right to run operations, one home after the other. Single-threaded.
+// Client of the quota protocol: takes operations from a tenant's quota at its homes, the daemons that count
+// the tenant's operations. Asks one home after the other. Not thread-safe.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -24,92 +25,94 @@
 
 namespace pipitpond::pooling {
 
-/// What came of asking.
+/// Outcome of asking a tenant's homes.
 enum class QuotaOutcome : std::uint8_t {
   kGranted,
-  kOverQuota,  ///< At least one home has none left, and no other one gave any.
-  kNotTold,    ///< No home could be asked.
+  kOverQuota,  ///< At least one home has none left, and no other home granted one.
+  kNotTold,    ///< No home gave a usable answer.
 };
 
-/// Where an operation was granted, to give it back.
+/// Identifies a granted operation, so that it can be returned to its home.
 struct QuotaReceipt {
   core::DaemonId home;
   GivenBackOperation operation;
 };
 
-/// A home's answer, or what came of asking all of them.
+/// The combined answer of a tenant's homes.
 struct QuotaAnswer {
   QuotaOutcome outcome = QuotaOutcome::kNotTold;
-  core::Duration retry_in{};            ///< Not granted: when to come back.
-  std::optional<QuotaReceipt> receipt;  ///< Of an operation that can be given back.
+  core::Duration retry_in{};            ///< If not granted: delay before the caller retries.
+  std::optional<QuotaReceipt> receipt;  ///< Set if the operation can be returned.
 };
 
 /// Counts since the start.
 struct QuotaCounters {
-  std::uint64_t asked = 0;  ///< Questions to other daemons.
+  std::uint64_t asked = 0;  ///< Requests to other daemons.
   std::uint64_t unanswered = 0;
-  std::uint64_t given_back = 0;  ///< Operations that surely did not run, told to other daemons.
+  std::uint64_t given_back = 0;  ///< Operations returned to other daemons because they did not run.
 };
 
-/// Who asks for an operation. Callers of other priorities neither share questions nor what homes answer.
+/// Tenant and priority of an operation. Requests are batched, and refusals remembered, only among callers of
+/// the same tenant and priority.
 struct QuotaAsked {
   core::TenantName tenant;
-  std::uint32_t priority = 0;  ///< Of the route.
+  std::uint32_t priority = 0;  ///< Of the route; 0 is the most urgent.
 
   auto operator<=>(const QuotaAsked&) const = default;
 };
 
-/// Grants an operation where this daemon itself is the home.
+/// Takes an operation from this daemon's own home, without a network call.
 using TakeOwn = std::function<tenancy::QuotaGrant(const QuotaAsked&)>;
 
-/// The asking side of tenancy::QuotaHome.
+/// The client of tenancy::QuotaHome.
 class QuotaAsker {
  public:
   QuotaAsker(boost::asio::io_context& io, core::DaemonId self);
 
-  /// Follows the daemons that the configuration names.
+  /// Updates the links to the daemons that the configuration lists.
   void apply(const protocol::Configuration& configuration);
-  /// `homes`: the tenant's, in the order in which they are to be asked.
+  /// Takes one operation. `homes` are asked in the given order.
   boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaAsked asked,
                                            const TakeOwn& take_own);
 
-  /// An operation that another daemon granted surely did not run. The next question to that daemon tells it;
-  /// where none goes out in time, the operation is lost.
+  /// Returns an operation that another daemon granted and that definitely did not run. It travels with the
+  /// next request to that daemon; if none is sent in time, the operation stays charged to the tenant.
   void give_back(QuotaReceipt receipt);
 
   [[nodiscard]] const QuotaCounters& counters() const { return counters_; }
 
  private:
-  /// A question to a home for all callers that wait for its answer.
+  /// One request to a home on behalf of all callers that wait for its reply.
   struct Question {
     explicit Question(boost::asio::io_context& io)
         : answered(io, boost::asio::steady_timer::time_point::max()) {}
 
     std::uint32_t operations = 0;  ///< One for each caller.
     std::optional<core::Result<QuotaReply>> reply;
-    boost::asio::steady_timer answered;  ///< Cancelled when the reply is there.
+    boost::asio::steady_timer answered;  ///< Cancelled when the reply has arrived.
   };
   using QuestionPointer = std::shared_ptr<Question>;
 
-  /// What is known of a tenant at one home.
+  /// State of one tenant and priority at one home.
   struct TenantAtHome {
-    core::Instant empty_until{};    ///< It had none left.
-    core::Instant no_home_until{};  ///< It said that it is no home of the tenant.
-    core::Instant short_until{};    ///< It had none left a short while ago: callers ask together.
-    bool asking = false;            ///< A question that stands for all is under way.
-    QuestionPointer gathering;      ///< The next one; null: nobody waits for it.
+    core::Instant empty_until{};    ///< The home has no operations left until then.
+    core::Instant no_home_until{};  ///< The daemon is not asked: it is no home of the tenant.
+    core::Instant short_until{};    ///< Callers share requests until then; see kAskTogether.
+    bool asking = false;            ///< A shared request is in flight.
+    QuestionPointer gathering;      ///< The next shared request; null: no caller waits.
   };
+  /// Another daemon, as a home of tenants.
   struct Link {
     core::Endpoint endpoint;
     std::uint64_t incarnation = 0;
-    std::shared_ptr<wire::Channel> channel;  ///< Null until it is asked for the first time.
-    core::Instant avoided_until{};           ///< It did not answer.
+    std::shared_ptr<wire::Channel> channel;  ///< Null until the first request.
+    core::Instant avoided_until{};           ///< Not asked until then, after a call failed.
     std::map<QuotaAsked, TenantAtHome> tenants;
-    std::vector<GivenBackOperation> given_back;  ///< To be told; kMostGivenBack at most.
+    std::vector<GivenBackOperation> given_back;  ///< To be sent; kMostGivenBack at most.
   };
   using LinkPointer = std::shared_ptr<Link>;
 
-  /// What one caller learned from a question. Neither granted nor retry_in: this home is of no use now.
+  /// One caller's part of a reply. If neither field is set, this home cannot serve the tenant now.
   struct CallersShare {
     std::optional<tenancy::TokenNumber> granted;
     std::optional<core::Duration> retry_in;
@@ -118,7 +121,7 @@
   CallersShare take_own_share(const QuotaAsked& asked, const TakeOwn& take_own);
   boost::asio::awaitable<CallersShare> ask_one(LinkPointer link, QuotaAsked asked);
   static CallersShare share_of(const Question& question, std::uint32_t index);
-  /// Asks for all of the question's callers, then for those that have gathered meanwhile.
+  /// Sends the request for all of its callers, then the next one for the callers that arrived meanwhile.
   boost::asio::awaitable<void> ask_for_all(LinkPointer link, QuotaAsked asked, QuestionPointer question);
   static void note(Link& link, const QuotaAsked& asked, const core::Result<QuotaReply>& reply);
   boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaAsked asked,
@@ -127,20 +130,21 @@
   boost::asio::io_context& io_;
   core::DaemonId self_;
   std::map<core::DaemonId, LinkPointer> links_;
-  std::map<QuotaAsked, core::Instant> own_empty_until_;  ///< Where this daemon is the home.
+  std::map<QuotaAsked, core::Instant> own_empty_until_;  ///< empty_until of this daemon's own home.
   QuotaCounters counters_;
 };
 
-/// For this long after a home had none left, callers of the tenant ask it together: while one question is
-/// under way the others gather for the next. Else each asks at once, as an answer is sure to come and a wait
-/// for others would only be added. Covers some turns of a tenant that stays over its limit.
+/// For this long after a home had no operations left, callers of the tenant share requests: while one is in
+/// flight, later callers wait for the next. At other times each caller sends its own request, because
+/// operations are available and batching would only add latency. Covers several retry intervals of a tenant
+/// that stays over its limit.
 inline constexpr core::Duration kAskTogether = std::chrono::milliseconds(1000);
-/// A home answers at once, from memory: what has not come by now (a way between zones and back takes 2 ms) is
-/// not worth waiting for while there are others.
+/// Time-out of a quota request. A home answers from memory and a round trip between zones takes 2 ms, so
+/// after this time it is better to ask another home.
 inline constexpr core::Duration kQuotaTimeout = std::chrono::milliseconds(120);
-/// A home that did not answer, or said that it is none, is left alone for this long.
+/// A daemon that did not answer, or is not a home of the tenant, is not asked for this long.
 inline constexpr core::Duration kAvoidSilentHome = std::chrono::milliseconds(300);
-/// When a caller may come back after no home could be asked.
+/// Retry hint for callers when no home gave a usable answer.
 inline constexpr core::Duration kQuotaComeBack = std::chrono::milliseconds(200);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/quota_messages.hpp
+++ b/src/pooling/quota_messages.hpp
@@ -1,4 +1,5 @@
-// Messages by which a daemon asks a tenant's home for the right to run an operation. Packed with msgpack.
+// Messages by which a daemon takes operations from a tenant's quota. They go to a home of the tenant: a
+// daemon that counts its operations. Packed with msgpack.
 #pragma once
 
 #include <chrono>
@@ -12,7 +13,7 @@
 
 namespace pipitpond::pooling {
 
-/// An operation that a home granted and that surely did not run.
+/// An operation that a home granted and that definitely did not run.
 struct GivenBackOperation {
   core::TenantName tenant;
   tenancy::TokenNumber number = 0;
@@ -20,26 +21,26 @@
   MSGPACK_DEFINE(tenant, number);
 };
 
-/// Most of them in a question. What a daemon has beyond that is lost: its tenant has as much less.
+/// Most returned operations in one request. Further ones are dropped and stay charged to their tenant.
 inline constexpr std::size_t kMostGivenBack = 64;
 
-/// Asks for operations. Answered with a QuotaReply.
+/// Asks for operations of a tenant's quota. Answered with a QuotaReply.
 struct QuotaRequest {
   core::TenantName tenant;
-  std::vector<GivenBackOperation> given_back;  ///< Of any tenants.
-  std::uint32_t operations = 1;                ///< As many as wait for the answer.
-  std::uint32_t priority = 0;                  ///< Of their route.
+  std::vector<GivenBackOperation> given_back;  ///< May belong to any tenant.
+  std::uint32_t operations = 1;                ///< One for each waiting caller.
+  std::uint32_t priority = 0;                  ///< Of the callers' route.
 
   MSGPACK_DEFINE(tenant, given_back, operations, priority);
 };
 
-/// What the home says.
+/// A home's answer.
 struct QuotaReply {
-  bool granted = false;             ///< At least one.
-  bool is_home = false;             ///< False: it does not count this tenant's operations now.
-  std::uint32_t retry_in_ms = 0;    ///< Granted less than was asked for: when to ask again.
-  tenancy::TokenNumber number = 0;  ///< Granted: by which the first can be given back; the others follow it.
-  std::uint32_t operations = 0;     ///< Granted.
+  bool granted = false;             ///< At least one operation was granted.
+  bool is_home = false;             ///< False: the daemon grants nothing for this tenant now.
+  std::uint32_t retry_in_ms = 0;    ///< If fewer were granted than requested.
+  tenancy::TokenNumber number = 0;  ///< Of the first granted operation; consecutive.
+  std::uint32_t operations = 0;     ///< Number granted.
 
   MSGPACK_DEFINE(granted, is_home, retry_in_ms, number, operations);
 };
--- a/src/pooling/request_trace.hpp
+++ b/src/pooling/request_trace.hpp
@@ -1,5 +1,5 @@
-// What was decided for one statement, on what evidence: kept while it runs, and written to the log only when
-// it failed or came late. So a failure is told whole, and successes cost no line.
+// Trace of the routing decisions for one statement. Kept in memory while the statement runs and logged only
+// if it fails or its answer is late, so that successes cost no log lines.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +14,32 @@
 
 namespace pipitpond::pooling {
 
-/// A decision or what came of one.
+/// A routing decision or its result.
 enum class TraceEvent : std::uint8_t {
-  kWaits,         ///< It must not be sent anywhere yet.
-  kNoBackend,     ///< No database would do.
-  kNoConnection,  ///< One was chosen, but no connection to it was had.
-  kSent,          ///< The statement left for a database.
-  kNotRun,        ///< The database promised that it did not run.
-  kFailed,        ///< It ran and failed.
-  kLost,          ///< No answer: the connection broke or the time was up.
-  kNotCertain,    ///< It was answered, but the database was not surely the primary any more.
+  kWaits,         ///< The statement must not be sent to any database yet.
+  kNoBackend,     ///< No database qualified.
+  kNoConnection,  ///< No connection to the chosen database was available.
+  kSent,          ///< The statement was sent to a database.
+  kNotRun,        ///< The reply guarantees that the statement did not run.
+  kFailed,        ///< The statement ran and failed.
+  kLost,          ///< No answer: the connection broke or the time-out passed.
+  kNotCertain,    ///< Answered, but the database may no longer be the primary.
 };
 
-/// Stable text of an event, for logs.
+/// The event's name in the log; log analysis tools rely on it.
 const char* to_string(TraceEvent event);
 
-/// One step of a statement.
+/// One step in the handling of a statement.
 struct TraceStep {
-  core::Duration at{};  ///< Since the statement came.
+  core::Duration at{};  ///< Time since the statement arrived.
   TraceEvent event = TraceEvent::kSent;
   core::DatabaseId database;               ///< Empty: none.
-  core::Term term = 0;                     ///< Of the group, as it was known.
-  std::optional<core::LogPosition> after;  ///< The position that was asked for.
+  core::Term term = 0;                     ///< The group's term, as known to this daemon.
+  std::optional<core::LogPosition> after;  ///< The required log position.
   std::string detail;                      ///< Such as the code of a failure.
 };
 
-/// Which statement a trace is of.
+/// Identifies the traced statement and the configuration that it ran under.
 struct TraceSubject {
   core::RequestId request;
   std::string route;
@@ -48,14 +48,14 @@
   std::uint64_t revision = 0;
 };
 
-/// The trace of one statement.
 class RequestTrace {
  public:
   explicit RequestTrace(core::Instant started) : started_(started) {}
 
-  /// Only the last kMaxSteps are kept, and how many went before.
+  /// Keeps the last kMaxSteps steps and counts those dropped. Consecutive equal waiting steps count as
+  /// dropped.
   void add(core::Instant now, TraceStep step);
-  /// Writes all steps and the outcome, one line each.
+  /// Logs all steps and the outcome, one line each.
   void write(core::Instant now, const TraceSubject& subject, const StatementReply& reply) const;
 
   [[nodiscard]] core::Duration taken(core::Instant now) const { return now - started_; }
--- a/src/pooling/routes.hpp
+++ b/src/pooling/routes.hpp
@@ -1,4 +1,4 @@
-// The routes in force, looked up by the database name that callers ask for. No input or output.
+// The route table in force, indexed by the database name that callers connect to. Does no I/O.
 #pragma once
 
 #include <map>
@@ -10,15 +10,14 @@
 
 namespace pipitpond::pooling {
 
-/// Routes by database name.
 class Routes {
  public:
   void apply(const protocol::RouteTable& table);
 
-  /// The route of a database name: of several, the one with the shortest prefix.
+  /// The route of a database name. If several match, the one with the shortest path prefix.
   [[nodiscard]] std::optional<protocol::Route> find(const std::string& database) const;
   [[nodiscard]] std::uint64_t version() const { return version_; }
-  /// A transaction without a statement for this long is ended; zero: never.
+  /// Transactions idle for this long are aborted; zero: never.
   [[nodiscard]] core::Duration transaction_idle_limit() const { return transaction_idle_limit_; }
 
  private:
--- a/src/pooling/session_state.cpp
+++ b/src/pooling/session_state.cpp
@@ -14,7 +14,7 @@
   return statement;
 }
 
-/// A value can be set to another one, but only a reset takes it away.
+/// A value can be overwritten, but only a reset removes it.
 bool needs_reset(const SessionState& session, const ConnectionState& connection) {
   const bool foreign_value =
       std::any_of(connection.values.begin(), connection.values.end(),
--- a/src/pooling/session_state.hpp
+++ b/src/pooling/session_state.hpp
@@ -1,5 +1,5 @@
-// What belongs to a caller's session and must hold on whichever connection runs its statements: session
-// values and prepared statements. No input or output.
+// A session's values and prepared statements, and the statements that bring a pooled connection into the same
+// state. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 /// Session values by name.
 using SessionValues = std::map<std::string, std::string>;
 
-/// A shape of statement that can be named on a connection.
+/// The text of a prepared statement, and whether it may write.
 struct PreparedShape {
   bool writes = false;
   std::string shape;
@@ -25,31 +25,32 @@
   MSGPACK_DEFINE(writes, shape);
 };
 
-/// A caller's session.
+/// State of a caller's session that must hold on every connection that runs its statements.
 struct SessionState {
   SessionValues values;
-  std::map<std::string, PreparedShape> prepared;  ///< By the caller's names.
+  std::map<std::string, PreparedShape> prepared;  ///< Keyed by the caller's names.
 
   MSGPACK_DEFINE(values, prepared);
 };
 
-/// What a database connection has been told.
+/// Session state that a database connection currently has.
 struct ConnectionState {
   SessionValues values;
-  std::map<PreparedShape, std::string> prepared;  ///< Names on the connection, which are the proxy's own.
+  std::map<PreparedShape, std::string> prepared;  ///< Names on the connection, chosen by the proxy.
   std::uint64_t names_given = 0;
 };
 
-/// Most prepared statements that a connection keeps; beyond it, it is reset.
+/// A connection with more prepared statements than this is reset before its next use.
 inline constexpr std::size_t kMaxPreparedPerConnection = 200;
 
-/// The statements that must go before `statement`, so that it runs with the session's values and prepared
-/// shapes; renames `statement` where it executes a prepared one. Takes note in `connection` of what they do:
-/// if one of them fails, the connection must be closed. `in_transaction`: a reset is not possible.
+/// Returns the statements that must precede `statement` on the connection so that it runs with the session's
+/// values and prepared statements. If `statement` executes a prepared statement, its name is replaced by that
+/// on the connection. Updates `connection` as if all of them succeeded: if one fails, the connection must be
+/// closed. `in_transaction`: a reset is not possible.
 std::vector<Statement> align_connection(const SessionState& session, ConnectionState& connection,
                                         Statement& statement, bool in_transaction);
 
-/// True when the connection has the session's values already.
+/// True if the connection already has exactly the session's values.
 bool has_values_of(const ConnectionState& connection, const SessionState& session);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/statement.hpp
+++ b/src/pooling/statement.hpp
@@ -1,5 +1,5 @@
-// Statements of callers' sessions and the answers to them, in terms of this project. The adapters of callers
-// and databases translate them from and to what goes over their connections.
+// Protocol-independent form of statements and replies. The adapters for callers and databases translate it to
+// and from their wire protocols.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,6 @@
 
 namespace pipitpond::pooling {
 
-/// What a statement asks for.
 enum class StatementKind : std::uint8_t {
   kBegin,          ///< Opens a transaction that may write.
   kBeginReadOnly,  ///< Opens a transaction that only reads.
@@ -22,19 +21,18 @@
   kRead,
   kWrite,
   kSetValue,  ///< Sets a session value.
-  kPrepare,   ///< Names a shape of statement for the session.
+  kPrepare,   ///< Prepares a statement under a name of the session.
   kExecute,   ///< Runs a prepared statement.
-  kForget,    ///< Drops a prepared name.
-  kReset,     ///< Drops all session values and prepared names. Never from callers.
+  kForget,    ///< Deallocates a prepared statement.
+  kReset,     ///< Drops all session values and prepared statements. Only the proxy sends it.
 };
 
-/// One statement.
 struct Statement {
-  core::RequestId id;  ///< The caller's; empty for statements of the proxy itself.
+  core::RequestId id;  ///< Assigned by the caller; empty for the proxy's own statements.
   StatementKind kind = StatementKind::kRead;
-  std::string name;       ///< kSetValue: of the value. kPrepare, kExecute, kForget: the prepared name.
-  std::string arguments;  ///< The rest of the text, unchanged. kPrepare: the shape.
-  bool writes = false;    ///< kPrepare, and kExecute once its name is known: it may write.
+  std::string name;       ///< kSetValue: the value's name. kPrepare, kExecute, kForget: the prepared name.
+  std::string arguments;  ///< The rest of the text, unchanged. kPrepare: the statement to prepare.
+  bool writes = false;    ///< kPrepare, and kExecute once its name is resolved: may write.
 
   MSGPACK_DEFINE(id, kind, name, arguments, writes);
 };
@@ -42,26 +40,26 @@
 /// Why a statement failed.
 enum class FailureCode : std::uint8_t {
   kBusy,                ///< Not run: no slot or connection was free.
-  kAborted,             ///< Nothing of the transaction is kept.
-  kBehind,              ///< Not run: the log lacks the wanted position.
+  kAborted,             ///< The transaction was rolled back.
+  kBehind,              ///< Not run: the database's log has not reached the required position.
   kReadOnly,            ///< Not run: the database is not the primary.
   kWrongDatabase,       ///< Not run: another database answered at the address.
-  kTooManyConnections,  ///< Not run.
-  kUnsure,              ///< It may or may not have taken effect.
-  kTimeout,             ///< No answer in time; it may have run.
-  kFailed,              ///< It ran and failed.
+  kTooManyConnections,  ///< Not run: the database accepts no more connections.
+  kUnsure,              ///< Outcome unknown: the write may or may not have taken effect.
+  kTimeout,             ///< No answer in time; the statement may have run.
+  kFailed,              ///< The statement ran and failed.
   kNoStatement,         ///< Not run: the prepared name is unknown.
   kUnknownDatabase,     ///< No route serves the database name.
-  kTooLarge,            ///< Over a limit of size.
-  kBad,                 ///< Not understood, or not allowed in this state.
-  kDenied,              ///< The caller may not.
-  kOverQuota,           ///< Not run: the tenant has asked for more than it may.
+  kTooLarge,            ///< Exceeds a size limit.
+  kBad,                 ///< Malformed, or not allowed in this state.
+  kDenied,              ///< The caller is not authorized.
+  kOverQuota,           ///< Not run: the tenant's quota is used up.
 };
 
-/// Short text of a code, for logs and metrics.
+/// Name of a code in logs and metrics.
 const char* to_string(FailureCode code);
 
-/// A failure with a text for the caller.
+/// A failure code with an explanation for the caller.
 struct Failure {
   FailureCode code = FailureCode::kFailed;
   std::string text;
@@ -69,37 +67,34 @@
   MSGPACK_DEFINE(code, text);
 };
 
-/// Where a session or connection stands after a statement.
+/// Transaction state of a session or connection after a statement.
 enum class TransactionState : std::uint8_t {
   kIdle,
   kOpen,
-  kFailed,  ///< Open, but only its end is accepted.
+  kFailed,  ///< Open, but only COMMIT or ROLLBACK is accepted.
 };
 
-/// Answer to one statement.
 struct StatementReply {
   std::optional<Failure> failure;
   std::vector<std::string> rows;
-  std::string signature;  ///< The database's proof that it ran the statement; empty for answers of the proxy.
+  std::string signature;  ///< The database's proof that it ran the statement; empty for replies of the proxy.
   TransactionState state = TransactionState::kIdle;
-  std::optional<core::LogPosition> position;  ///< Of the database's log.
+  std::optional<core::LogPosition> position;  ///< Position of the database's log.
 
   MSGPACK_DEFINE(failure, rows, signature, state, position);
 };
 
-/// True for statements that may change something. Prepared ones: once `writes` is set.
+/// True for statements that may change data. For kExecute, `writes` must have been set.
 bool may_write(const Statement& statement);
-/// True for those that open a transaction.
 bool begins_transaction(const Statement& statement);
-/// The reply to a statement that the proxy has carried out itself.
+/// A success reply to a statement that the proxy has executed itself.
 StatementReply succeeded_here(TransactionState state);
-/// A reply that failed.
 StatementReply failed_reply(FailureCode code, std::string text, TransactionState state);
 
-/// Number of codes.
+/// Number of FailureCode values.
 inline constexpr std::size_t kFailureCodes = 15;
 
-/// True for failures that promise that the statement was not run.
+/// True for failures that guarantee that the statement was not run.
 bool surely_not_run(FailureCode code);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/statement_forwarder.cpp
+++ b/src/pooling/statement_forwarder.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-/// An owner that can't reach a database itself is not asked for it again for this long: a few of a database's
-/// usual times, so that a cut is noticed to have ended soon and costs little while it lasts.
+/// An owner that cannot reach a database is not asked for it for this long. That is a few times a database's
+/// usual latency, so that attempts during a network partition cost little and its end is noticed soon.
 constexpr core::Duration kAvoidUnreached = std::chrono::milliseconds(250);
-/// An owner that takes no new work is left alone for this long.
+/// An owner that is stopping is not asked for this long.
 constexpr core::Duration kAvoidLeaving = std::chrono::milliseconds(1000);
 
 std::uint32_t millis(core::Duration duration) {
@@ -32,13 +32,13 @@
   return core::Error{core::ErrorKind::kConnectionRefused, why, "Choose another database, or try again.", 100};
 }
 
-/// Only these kinds say that the statement was not run.
+/// False for the error kinds that guarantee that the statement was not run.
 bool may_have_run(const core::Error& error) {
   return error.kind != core::ErrorKind::kConnectionRefused && error.kind != core::ErrorKind::kUnavailable &&
          error.kind != core::ErrorKind::kNoCapacity && error.kind != core::ErrorKind::kLeaving;
 }
 
-/// Answers of any kind show that the owner lives.
+/// Updates the owner's health. Any answer shows that the owner is alive, including an error.
 void note_sign_of_life(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply) {
   const core::Instant now = core::BootClock::now();
   const core::ErrorKind kind = reply ? core::ErrorKind::kUnavailable : reply.error().kind;
@@ -51,7 +51,7 @@
   }
 }
 
-/// The part of a session's state that the statement needs.
+/// The part of the session's state that the statement needs.
 SessionState state_for(const SessionState& session, const Statement& statement) {
   SessionState needed;
   needed.values = session.values;
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-/// A connection at an owner, chosen when the first statement is sent.
+/// A lease on a connection of an owner, which is chosen when the first statement is run.
 class ForwardedLease : public StatementLease {
  public:
   ForwardedLease(StatementForwarder& forwarder, std::shared_ptr<BackendPool> pool,
@@ -102,8 +102,8 @@
   }
 
  private:
-  /// Only owners that did not run the statement are followed by another one, and only within longest_wait:
-  /// the position that a read must reach was chosen for no longer. After it, whoever asked chooses anew.
+  /// Tries another owner only if the previous one did not run the statement, and only within longest_wait:
+  /// the log position required of a read allows for no longer wait. After that the caller must choose again.
   awaitable<core::Result<StatementReply>> offer_to_owners(ForwardedStatement message, core::Instant give_up) {
     const core::Instant stop_offering =
         std::min(give_up, core::BootClock::now() + kFirstOwnersWait * (kOwnersTried - 1));
@@ -168,7 +168,8 @@
     co_return std::move(answer.value().reply);
   }
 
-  /// Answers of any kind show that the owner lives; what it says of the database is not held against it.
+  /// Records the reply. Any answer shows that the owner is alive; errors of its database do not affect its
+  /// health.
   void note(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply, core::Instant now) {
     note_sign_of_life(link, number, reply);
     if (reply) {
@@ -184,7 +185,7 @@
   std::shared_ptr<BackendPool> pool_;
   std::vector<core::DaemonId> owners_;
   ConnectionRequest request_;
-  std::shared_ptr<OwnerLink> link_;  ///< That has the transaction, or was asked last.
+  std::shared_ptr<OwnerLink> link_;  ///< Owner of the transaction, or the last one asked.
   ForwardedTransaction transaction_ = 0;
 };
 
@@ -344,7 +345,7 @@
   if (was_usable && !link->health.usable()) {
     logging::logger("forward")->warn("event=suspect daemon={} suspicion=unreachable given_up={}",
                                      link->daemon.value(), link->outstanding);
-    renew_channel(*link);  // Ends what waits for it.
+    renew_channel(*link);  // Fails the calls that wait for the owner.
   } else if (!was_usable && link->health.usable()) {
     logging::logger("forward")->info("event=trust daemon={}", link->daemon.value());
   }
--- a/src/pooling/statement_forwarder.hpp
+++ b/src/pooling/statement_forwarder.hpp
@@ -1,5 +1,6 @@
-// Has statements run by other daemons that own connections to a database, where this one owns none or can't
-// reach it. Judges owners by their answers, and asks for a sign of life when one is overdue. Single-threaded.
+// Forwards statements to owners: other daemons that hold connections to a database. Used when this daemon
+// holds none or cannot reach the database. Tracks the owners' health by their replies, and probes owners that
+// are silent for too long. Not thread-safe.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,11 +23,11 @@
 
 namespace pipitpond::pooling {
 
-/// An owner that owes an answer and has said nothing for this long is asked for a sign of life. It may be
-/// waiting for its database, but it answers a probe at once.
+/// An owner that has a statement outstanding and has been silent for this long is probed. A live owner
+/// answers a probe at once, even while it waits for its database.
 inline constexpr core::Duration kDoubtOwnerAfterSilence = std::chrono::milliseconds(200);
 
-/// Another daemon, as one that may run statements for this one.
+/// Another daemon to which statements may be forwarded.
 struct OwnerLink {
   core::DaemonId daemon;
   core::Endpoint endpoint;
@@ -34,62 +35,63 @@
   std::uint64_t incarnation = 0;
   std::unique_ptr<wire::Channel> channel;
   BackendHealth health{kDoubtOwnerAfterSilence};
-  std::uint32_t outstanding = 0;  ///< Statements that it has.
-  /// Orders owners that are alike, differently for each daemon that asks.
+  std::uint32_t outstanding = 0;  ///< Forwarded statements without a reply.
+  /// Tie-breaker among equal owners, different at each forwarding daemon, which spreads the load.
   std::uint64_t preference = 0;
-  core::Instant avoided_until{};  ///< It said that it takes no new work.
-  /// Databases that it could not reach itself, and until when it is not asked for them again.
+  core::Instant avoided_until{};  ///< Not asked until then, as it is stopping.
+  /// Databases that the owner could not reach, and until when it is not asked for them.
   std::map<core::DatabaseId, core::Instant> unreached;
 };
 
-/// Which statements are passed on, and what came of it.
+/// Counts of forwarded statements and their results.
 struct ForwardCounters {
   std::uint64_t sent = 0;
-  std::uint64_t not_run = 0;          ///< Owners that said so, or could not be reached.
-  std::uint64_t lost = 0;             ///< Without an answer.
-  std::uint64_t positions_asked = 0;  ///< Times that an owner was asked for a primary's position.
-  std::uint64_t positions_told = 0;   ///< Of these, those that brought one.
+  std::uint64_t not_run = 0;          ///< Attempts that an owner refused, or that did not reach it.
+  std::uint64_t lost = 0;             ///< Attempts without an answer; they may have run.
+  std::uint64_t positions_asked = 0;  ///< Requests to owners for a primary's log position.
+  std::uint64_t positions_told = 0;   ///< Of these, those that returned a position.
   std::uint64_t probes = 0;
 };
 
-/// Passes statements on.
 class StatementForwarder {
  public:
   StatementForwarder(boost::asio::io_context& io, core::DaemonId self, core::ZoneName zone);
 
-  /// Follows the daemons that the configuration names.
+  /// Updates the links to the daemons that the configuration lists.
   void apply(const protocol::Configuration& configuration);
-  /// Call every kBackendsTick: probes owners in doubt, and gives up what a silent one has.
+  /// Must be called every kBackendsTick. Probes silent owners, and gives up the statements outstanding at
+  /// those that do not answer.
   void tick(core::Instant now);
-  /// No further statements are passed on.
+  /// Stops forwarding.
   void close() { links_.clear(); }
 
-  /// True when one of the owners can be asked.
+  /// True if at least one of the owners can be asked.
   [[nodiscard]] bool reaches(const std::vector<core::DaemonId>& owners, const core::DatabaseId& database,
                              core::Instant now) const;
-  /// True when a tenant's statements are better run by another owner, although this daemon owns connections
-  /// too.
+  /// True if another owner is the better choice for the tenant's statements, although this daemon holds
+  /// connections too.
   [[nodiscard]] bool prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
                                      const core::TenantName& tenant, core::Instant now) const;
-  /// A lease on a connection of one of the owners. Nothing is sent before its first statement.
+  /// A lease on a connection of one of the owners, which is chosen when the first statement is run.
   std::unique_ptr<StatementLease> lease(const std::shared_ptr<BackendPool>& pool,
                                         std::vector<core::DaemonId> owners, const ConnectionRequest& request);
 
-  /// A database's status by way of one of its owners. Fails with kConnectionRefused when none can be reached,
-  /// else as the owner's own question.
+  /// Fetches a database's status through one of its owners. Fails with kConnectionRefused if no owner can be
+  /// reached, else with the error of the owner's own status request or of the call.
   boost::asio::awaitable<core::Result<BackendStatus>> status(std::shared_ptr<BackendPool> pool,
                                                              std::vector<core::DaemonId> owners,
                                                              core::Duration timeout);
 
-  /// Positions of a group that an owner of its primary knows. Fails when none can be reached, or as the call.
+  /// Fetches log positions of a group from an owner of connections to its primary. Fails with
+  /// kConnectionRefused if no owner can be reached, else with the error of the call.
   boost::asio::awaitable<core::Result<PositionReply>> positions(std::shared_ptr<BackendPool> primary,
                                                                 std::vector<core::DaemonId> owners,
                                                                 PositionRequest request,
                                                                 core::Duration timeout);
 
-  /// Has the best of the owners that were not tried show who a group's primary is, and adds it to `tried`.
-  /// Fails with kConnectionRefused and tries none when none can be reached, else as the owner or the way to
-  /// it.
+  /// Asks the best owner that is not in `tried` to confirm a group's primary, and adds that owner to `tried`.
+  /// Fails with kConnectionRefused, without a change to `tried`, if no owner can be reached; else with the
+  /// error of the owner or of the call.
   boost::asio::awaitable<core::Result<ShownPrimaryReply>> shown_primary(std::shared_ptr<BackendPool> primary,
                                                                         std::vector<core::DaemonId> owners,
                                                                         std::vector<core::DaemonId>& tried,
@@ -103,7 +105,7 @@
 
   [[nodiscard]] static bool usable(const OwnerLink& link, const core::DatabaseId& database,
                                    core::Instant now);
-  /// The best of the owners that were not tried; see rank. Null: none is left.
+  /// The best usable owner that is not in `tried`, by rank(). Null if there is none.
   [[nodiscard]] LinkPointer choose(const std::vector<core::DaemonId>& owners,
                                    const std::vector<core::DaemonId>& tried, const BackendPool& pool,
                                    const core::TenantName& tenant, core::Instant now) const;
@@ -117,12 +119,12 @@
   ForwardCounters counters_;
 };
 
-/// Longest wait for a connection at an owner while others may have one free, and at the last that is tried.
+/// Longest wait for a connection at an owner while other owners remain to be tried, and at the last one.
 inline constexpr core::Duration kFirstOwnersWait = std::chrono::milliseconds(30);
 inline constexpr core::Duration kLastOwnersWait = std::chrono::milliseconds(120);
-/// Owners that one statement is offered to.
+/// Most owners tried for one statement.
 inline constexpr int kOwnersTried = 3;
-/// Longest time from a statement's passing on until it runs, if it does.
+/// Longest time from forwarding a statement until an owner begins to run it.
 inline constexpr core::Duration kLongestForwardWait = kFirstOwnersWait * (kOwnersTried - 1) + kLastOwnersWait;
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/statement_lease.hpp
+++ b/src/pooling/statement_lease.hpp
@@ -1,4 +1,4 @@
-// The right to run statements of one session on a connection to a database, wherever that connection is.
+// Interface of a lease on a database connection, held by this daemon or by another one.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -12,21 +12,21 @@
 
 namespace pipitpond::pooling {
 
-/// One connection for the length of a statement or a transaction. Ends an open transaction when it is
-/// destroyed.
+/// Exclusive use of one connection for a statement or a transaction. Destroying the lease aborts an open
+/// transaction.
 class StatementLease {
  public:
   virtual ~StatementLease() = default;
 
-  /// Runs one statement of a session: aligns the connection with the session's state first. The lease must
-  /// outlive the call. Fails with kConnectionRefused when the statement was not run, and with kConnectionLost
+  /// Brings the connection into the session's state, then runs the statement. The lease must outlive the
+  /// call. Fails with kConnectionRefused when the statement was not run, and with kConnectionLost
   /// or kTimeout when it may have been.
   virtual boost::asio::awaitable<core::Result<StatementReply>> run(const SessionState& session,
                                                                    BackendStatement statement,
                                                                    core::Duration timeout) = 0;
-  /// The connection is closed, not used again.
+  /// Closes the connection instead of returning it to the pool.
   virtual void discard() = 0;
-  /// How long the first statement may still wait for its connection.
+  /// Upper bound on the time that the first statement may still wait for a connection.
   [[nodiscard]] virtual core::Duration longest_wait() const = 0;
 
  protected:
--- a/src/pooling/told_age.hpp
+++ b/src/pooling/told_age.hpp
@@ -1,8 +1,9 @@
-// Ages that one daemon tells another, so that nothing is ever taken for younger than it is. No input or
-// output.
+// Ages of data that one daemon reports to another. A reported age is never smaller than the real one. Does no
+// I/O.
 //
-// The teller counts an age up to a moment after the question came. The asker counts it from before it sent
-// the question. So the age is too great by the way there, never too small, however long the answer takes.
+// The sender measures an age up to a moment after the request arrived; the receiver counts it from before it
+// sent the request. So the age is too great by at most the request's transit time, however long the reply
+// takes.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +12,19 @@
 
 namespace pipitpond::pooling {
 
-/// Clocks of two daemons may differ in rate by one part in so many (5%): ages are told that much greater.
+/// Clock rates of two daemons may differ by 1/20 (5%), so reported ages are increased by this fraction.
 inline constexpr int kClockRatePart = 20;
-/// What rounding to milliseconds may add to an age.
+/// Allowance for rounding an age up to whole milliseconds.
 inline constexpr core::Duration kAgeRounding = std::chrono::milliseconds(2);
 
-/// The age to tell for `age`, which must not be negative.
+/// The age to report for `age`, which must not be negative.
 inline std::uint32_t told_age_ms(core::Duration age) {
-  // Rounded up once, at the end: 18.9 ms are 19.9 ms by a clock that is 5% faster.
+  // Rounded up only once, at the end: 18.9 ms are 19.9 ms on a clock that is 5% faster.
   const core::Duration by_faster_clock = age + age / kClockRatePart;
   return static_cast<std::uint32_t>(core::to_millis(by_faster_clock) + 1);
 }
 
-/// The greatest age by the teller's clock that is told as no more than `most`; negative when there is none.
+/// The greatest age on the sender's clock that is reported as at most `most`; negative if there is none.
 inline core::Duration countable_age(core::Duration most) {
   return most * kClockRatePart / (kClockRatePart + 1) - kAgeRounding;
 }
--- a/tests/pooling/caller_access_test.cpp
+++ b/tests/pooling/caller_access_test.cpp
@@ -1,4 +1,4 @@
-// What callers' sessions may have run, by their keys and their tenants' quotas.
+// Access control of callers' sessions: keys, and tenants' quotas.
 #include <gtest/gtest.h>
 
 #include "pooling/caller_session.hpp"
@@ -36,7 +36,7 @@
     backends_.apply(configuration);
   }
 
-  /// The next table, after `change`.
+  /// Applies a route table of the next version, with its tenants modified by `change`.
   template <typename Change>
   void change_tenants(Change change) {
     protocol::Configuration configuration = agent_.configuration();
--- a/tests/pooling/caller_session_test.cpp
+++ b/tests/pooling/caller_session_test.cpp
@@ -28,7 +28,7 @@
     backends_.apply(agent_.configuration());
   }
 
-  /// The configuration with a further term: no primary while it changes.
+  /// Applies a failover: an empty `primary` begins a new term without a primary, a name sets its primary.
   void change_primary(const std::string& primary) {
     protocol::Configuration configuration = agent_.configuration();
     protocol::Group& group = configuration.groups.begin()->second;
@@ -48,13 +48,13 @@
     return pipitpond::testing::run(io_, session.run(std::move(asked)));
   }
 
-  /// Gives the daemon a position of the primary.
+  /// Lets the daemon learn a log position of the primary.
   void learn_position() {
     CallerSession session(services_, "writes");
     ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   }
 
-  /// The databases' own word of the primary is not to be had: the replicas don't answer.
+  /// Keeps the databases from confirming the primary: the replicas do not report their status.
   void silence_replicas() {
     connector_.database("b").tells_no_status = true;
     connector_.database("c").tells_no_status = true;
@@ -98,7 +98,8 @@
 }
 
 TEST_F(CallerSessionTest, OneReadAsksThePrimaryForAPositionAndTheOthersWaitForIt) {
-  // Bench, kcbu-counts trouble-1: after a start all reads went to a primary with two slots.
+  // After a start no position is known. Without this rule all reads go to the primary, here one with two
+  // slots.
   connector_.database("a").work = milliseconds(30);
   std::vector<std::unique_ptr<CallerSession>> sessions;
   std::vector<std::shared_ptr<pipitpond::testing::Pending<StatementReply>>> pending;
@@ -154,7 +155,7 @@
   ASSERT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   const core::LogPosition written = connector_.database("a").position;
   EXPECT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
-  EXPECT_TRUE(ran("b").empty()) << "the replica lacks the write";
+  EXPECT_TRUE(ran("b").empty()) << "the replica has not applied the write";
   connector_.database("b").position = written;
   connector_.database("c").position = written;
   backends_.pools()[1]->reach() = ReplicaReach();
@@ -165,7 +166,7 @@
   EXPECT_GE(*ran("b")[0].after, written);
 }
 
-// --- Certainty
+// --- Reads that must come from the current primary
 // ---------------------------------------------------------------------------------------------------
 
 TEST_F(CallerSessionTest, WithoutALeaseNoReadIsServedAsThePrimarys) {
@@ -187,7 +188,7 @@
 }
 
 TEST_F(CallerSessionTest, WithoutALeaseTheDatabasesShowWhoThePrimaryIs) {
-  // Bench, kerbrat-pieces scale-2: 1,787 reads were refused while all of control was dead.
+  // Without this rule reads are refused while all control replicas are down; 1,787 refusals were seen.
   agent_.lease = false;
   for (const char* route : {"writes", "board", "own"}) {
     CallerSession session(services_, route);
@@ -225,7 +226,7 @@
 }
 
 TEST_F(CallerSessionTest, WithoutALeaseAnAcknowledgedWriteGivesAPosition) {
-  // Bench, kcbu-counts trouble-1: proxies cut off from control refused bounded reads for 6 s.
+  // Without this rule a proxy that cannot reach control refuses bounded reads; seen for 6 s.
   agent_.lease = false;
   CallerSession writer(services_, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
@@ -288,7 +289,7 @@
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
 }
 
-// --- What is known of failures
+// --- Failures and retries
 // ------------------------------------------------------------------------------------
 
 TEST_F(CallerSessionTest, AWriteWhoseAnswerIsLostIsUnsureAndNeverRepeated) {
@@ -323,7 +324,7 @@
   EXPECT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   EXPECT_EQ(ran("b").size(), 1U);
   EXPECT_EQ(ran("a").size() + ran("c").size(), 2U)
-      << "the first read of the position, and the second attempt";
+      << "the read that fetched the position, and the second attempt";
 }
 
 TEST_F(CallerSessionTest, WithoutAPrimaryAWriteIsGivenUpEarlyAndTellsWhenToComeBack) {
@@ -368,7 +369,7 @@
 }
 
 TEST_F(CallerSessionTest, AStatementOfATransactionThatAFullDatabaseDidNotRunIsTriedAgain) {
-  // Bench, kcbu-counts scale-2: 227 transactions were lost in 6 s to a primary without a free slot.
+  // Without a retry, a primary that briefly has no free slot aborts open transactions; 227 in 6 s were seen.
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   connector_.database("a").next_failures = {FailureCode::kBusy, FailureCode::kBusy};
@@ -436,7 +437,7 @@
   EXPECT_EQ(ran("a").back().connection, 2);
 }
 
-// --- The session's own state
+// --- Session values and prepared statements
 // ----------------------------------------------------------------------------------------
 
 TEST_F(CallerSessionTest, SharedConnectionsTakeEachSessionsValues) {
--- a/tests/pooling/daemon_parts.hpp
+++ b/tests/pooling/daemon_parts.hpp
@@ -1,4 +1,4 @@
-// The parts of one daemon that serve callers, with fake databases, for tests of several daemons.
+// The components of a pooling daemon that serve callers, with fake databases, for tests with several daemons.
 #pragma once
 
 #include <string>
@@ -8,7 +8,6 @@
 
 namespace pipitpond::pooling {
 
-/// One daemon's parts.
 struct DaemonParts {
   DaemonParts(boost::asio::io_context& io, const std::string& name, const std::string& zone)
       : connector(io),
--- a/tests/pooling/fake_backends.hpp
+++ b/tests/pooling/fake_backends.hpp
@@ -1,5 +1,5 @@
-// Databases, connections and control as the pooling daemon's parts see them, for tests: answered at once,
-// with faults on demand.
+// In-memory databases, connections and control agent for tests of the pooling daemon. They answer at once
+// unless a fault or delay is set.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 namespace pipitpond::pooling {
 
-/// What ran on a fake database.
+/// A statement that ran on a fake database.
 struct RanStatement {
   std::string request;
   StatementKind kind = StatementKind::kRead;
@@ -28,23 +28,23 @@
   std::map<std::string, std::string> values;
   std::optional<core::LogPosition> after;
   int connection = 0;
-  std::string tenant;  ///< Of the connection.
+  std::string tenant;  ///< Tenant of the connection.
 };
 
-/// A database and its faults.
+/// A database, with the faults that tests set.
 struct FakeDatabase {
   bool primary = false;
   core::LogPosition position{1, 10};
   bool refuses_connections = false;
   int connections_opened = 0;
   int max_connections = 100;
-  std::shared_ptr<int> open_connections = std::make_shared<int>(0);  ///< Outlives the database, as they may.
-  core::Duration work{};                                             ///< Of each batch.
-  core::Duration status_work{};                                      ///< Of each question for its status.
-  bool silent = false;                     ///< Batches get no answer until their time-out.
-  std::vector<FailureCode> next_failures;  ///< Of the next statements of callers.
-  bool break_after_running = false;        ///< The next batch runs, and its connection breaks.
-  bool tells_no_status = false;            ///< Questions for its status get no answer.
+  std::shared_ptr<int> open_connections = std::make_shared<int>(0);  ///< Shared: connections may outlive it.
+  core::Duration work{};                                             ///< Delay of each batch.
+  core::Duration status_work{};                                      ///< Delay of each status request.
+  bool silent = false;                                               ///< Batches fail with a time-out.
+  std::vector<FailureCode> next_failures;  ///< Replies to the next statements of callers.
+  bool break_after_running = false;        ///< The next batch runs, then its connection breaks.
+  bool tells_no_status = false;            ///< Status requests fail with kOverloaded.
   int statuses_asked = 0;
   std::vector<RanStatement> ran;
 };
@@ -116,14 +116,14 @@
     if (!own && !database_.next_failures.empty()) {
       const FailureCode code = database_.next_failures.front();
       database_.next_failures.erase(database_.next_failures.begin());
-      reply.failure = Failure{code, "told to"};
+      reply.failure = Failure{code, "set by the test"};
       const TransactionState inside =
           code == FailureCode::kBusy ? TransactionState::kOpen : TransactionState::kFailed;
       reply.state = in_transaction_ ? inside : TransactionState::kIdle;
       return reply;
     }
     if (sent.after && database_.position < *sent.after) {
-      reply.failure = Failure{FailureCode::kBehind, "told to"};
+      reply.failure = Failure{FailureCode::kBehind, "set by the test"};
       return reply;
     }
     take(statement);
@@ -169,7 +169,7 @@
   std::map<std::string, std::string> values_;
 };
 
-/// Connects to fake databases by their ids.
+/// Connects to fake databases, which are created on demand.
 class FakeConnector : public BackendConnector {
  public:
   explicit FakeConnector(boost::asio::io_context& io) : io_(io) {}
@@ -190,14 +190,14 @@
 
   FakeDatabase& database(const std::string& id) { return databases_[id]; }
 
-  std::vector<std::string> opened_for;  ///< Tenants of the connections, in order.
+  std::vector<std::string> opened_for;  ///< Tenants of the connections, in the order of opening.
 
  private:
   boost::asio::io_context& io_;
   std::map<std::string, FakeDatabase> databases_;
 };
 
-/// Control as a daemon sees it.
+/// A control agent whose configuration and lease the test sets.
 class FakeAgent : public agent::Agent {
  public:
   void start() override {}
@@ -227,7 +227,7 @@
   }
 
   bool lease = true;
-  std::optional<core::Instant> complete;  ///< Empty: always up to now.
+  std::optional<core::Instant> complete;  ///< Empty: complete up to the current time.
   std::vector<protocol::SuspicionReport> suspicions;
 
  private:
@@ -236,7 +236,7 @@
   agent::FetchCounters fetch_counters_;
 };
 
-/// A statement with an id of its own.
+/// A statement with a unique request id.
 inline Statement example_statement(StatementKind kind, const std::string& arguments = "thing") {
   static int number = 0;
   Statement made;
@@ -246,7 +246,7 @@
   return made;
 }
 
-/// The example configuration with tenant "t1", which holds key "k1" and may run `quota`, and "t2" with "k2".
+/// The example configuration with tenants "t1" (key "k1") and "t2" (key "k2"), both with the given quota.
 protocol::Configuration configuration_with_tenants(std::optional<protocol::TenantQuota> quota = std::nullopt);
 
 /// A group "g" of the databases a (primary), b and c, routes "writes" (primary), "board" (bounded, 1,500 ms)
--- a/tests/pooling/options_test.cpp
+++ b/tests/pooling/options_test.cpp
@@ -1,4 +1,4 @@
-// What operators set of a pooling daemon.
+// Settings of a pooling daemon.
 #include "pooling/options.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace pipitpond::pooling {
 namespace {
 
-/// The daemon's arguments, with `more`.
+/// The required arguments of the daemon, followed by `more`.
 std::vector<std::string> arguments_with(std::vector<std::string> more) {
   std::vector<std::string> arguments = {"proxy",
                                         "--node.id",
--- a/tests/pooling/quota_asker_test.cpp
+++ b/tests/pooling/quota_asker_test.cpp
@@ -1,4 +1,5 @@
-// How a daemon asks a tenant's home: alone while there are operations, together after it had none left.
+// How a daemon takes operations from a tenant's home: one request per caller while operations are available,
+// shared requests after the home had none left.
 #include "pooling/quota_asker.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +41,7 @@
     asker_.apply(configuration);
   }
 
-  /// The next of the replies, or one that grants all.
+  /// Answers with the next of `replies_`, or grants everything.
   boost::asio::awaitable<core::Result<std::string>> answer(std::string body) {
     const QuotaRequest request = wire::unpack<QuotaRequest>(body).value();
     asked_.push_back(request);
@@ -73,7 +74,7 @@
     }
     return answers;
   }
-  /// The home has none left, and its turn has come since.
+  /// Lets the home refuse an operation, then waits until its retry delay has passed.
   void run_short() {
     constexpr std::uint32_t kTurnMillis = 5;
     replies_.push_back(granting(0, 0, kTurnMillis));
--- a/tests/pooling/session_state_test.cpp
+++ b/tests/pooling/session_state_test.cpp
@@ -63,8 +63,8 @@
   EXPECT_EQ(again.name, first.name);
 }
 
-// The oracle: a connection that does what it is told. After alignment it has the session's values, and the
-// executed name stands for the session's shape.
+// Compares with a model connection that executes the alignment statements: afterwards it must have exactly
+// the session's values, and the executed name must denote the session's prepared statement.
 RC_GTEST_PROP(AlignConnectionProperty, AnyOrderOfSessionsSeesItsOwnState, ()) {
   std::vector<SessionState> sessions(3);
   ConnectionState connection;
--- a/tests/pooling/statement_forward_test.cpp
+++ b/tests/pooling/statement_forward_test.cpp
@@ -1,4 +1,5 @@
-// A daemon without connections of its own and an owner, over a real connection between the two.
+// Forwarding of statements from a daemon that holds no database connections to an owner, over a real TCP
+// connection between the two.
 #include <gtest/gtest.h>
 
 #include "pooling/caller_session.hpp"
@@ -32,7 +33,7 @@
     asking_.apply(configuration_);
   }
 
-  /// Only "owner", which is in the databases' zone, owns connections.
+  /// Only "owner", which is in the databases' zone, may hold connections.
   [[nodiscard]] protocol::Configuration configuration() const {
     protocol::Configuration configuration = example_configuration();
     configuration.daemons.clear();
@@ -67,7 +68,7 @@
     co_return co_await service_.handle(peer, type, std::move(body));
   }
 
-  /// One more daemon, which owns nothing.
+  /// The configuration with one more daemon, which holds no connections.
   [[nodiscard]] protocol::Configuration with_newcomer() const {
     protocol::Configuration configuration = configuration_;
     protocol::Daemon newcomer;
@@ -77,7 +78,7 @@
     return configuration;
   }
 
-  /// Both daemons own connections to all databases.
+  /// Lets both daemons hold connections to all databases.
   void let_both_own() {
     for (protocol::Database& database : configuration_.groups.begin()->second.databases) {
       database.max_owners = 2;
@@ -107,7 +108,7 @@
   bool frozen_ = false;
   bool slow_refusal_ = false;
   int refused_ = 0;
-  int statements_ = 0;  ///< That the owner was asked to run.
+  int statements_ = 0;  ///< Statements that the owner was asked to run.
   std::unique_ptr<wire::Server> server_;
 };
 
@@ -123,7 +124,8 @@
 }
 
 TEST_F(StatementForwardTest, AnOwnerThatCantReachTheDatabasePassesStatementsOn) {
-  // Bench, kerbrat-pieces scale-2: the primary was cut off from two thirds of the proxies, which refused.
+  // A network partition cut the primary off from two thirds of the proxies, which then refused statements
+  // although other owners could still reach it.
   let_both_own();
   asking_.connector.database("a").refuses_connections = true;
   CallerSession session(asking_.services, "writes");
@@ -132,7 +134,8 @@
 }
 
 TEST_F(StatementForwardTest, AnOwnerWhoseConnectionsAreRefusedPassesStatementsOn) {
-  // Bench, kerbrat-pieces trouble-1: the database still counted the connections of a machine without power.
+  // After a power loss the database still counts the lost machine's connections against its limit, so that
+  // another owner's new connections are refused.
   let_both_own();
   asking_.connector.database("a").max_connections = 0;
   CallerSession session(asking_.services, "writes");
@@ -147,7 +150,8 @@
   CallerSession session(asking_.services, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
   EXPECT_EQ(reply.failure->code, FailureCode::kBusy);
-  constexpr int kMostInItsWait = 4;  // 600 ms, and 250 ms of rest after each.
+  constexpr int kMostInItsWait =
+      4;  // The statement waits 600 ms; an owner is skipped for 250 ms after each failure.
   EXPECT_LE(statements_, kMostInItsWait);
 }
 
@@ -169,7 +173,7 @@
   newcomer.apply(with_newcomer());
   CallerSession reader(newcomer.services, "board");
   ASSERT_FALSE(run(reader, example_statement(StatementKind::kRead)).failure);
-  EXPECT_EQ(ran().size(), 1U) << "the primary ran the write only";
+  EXPECT_EQ(ran().size(), 1U) << "the primary ran only the write";
   EXPECT_EQ(newcomer.backends.forwards().positions_told, 1U);
   const auto& at_b = owner_.connector.database("b").ran;
   const auto& at_c = owner_.connector.database("c").ran;
@@ -180,7 +184,7 @@
 TEST_F(StatementForwardTest, AReadAfterAWriteMissedByTheOwnersPositionStaysAtThePrimary) {
   CallerSession writer(asking_.services, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
-  // The replicas lack the write that the position covers.
+  // The replicas have not applied the write that the position includes.
   DaemonParts newcomer(io_, "newcomer", "zone-asking");
   newcomer.apply(with_newcomer());
   CallerSession reader(newcomer.services, "board");
@@ -189,8 +193,8 @@
 }
 
 TEST_F(StatementForwardTest, NoReplicaIsAskedWithAPositionThatIsTooOldAfterTheLongestWait) {
-  // At an owner the statement may wait for 180 ms: what covers 1,500 ms of staleness now does not cover it
-  // then, and a replica's answer without a position would prove nothing.
+  // The statement may queue for 180 ms at an owner. A position that satisfies the staleness bound of 1,500 ms
+  // now may not satisfy it then, and a replica's answer without a required position is not provably recent.
   const auto primary = asking_.backends.as_chosen(core::DatabaseId("a"));
   const core::Instant now = core::BootClock::now();
   asking_.backends.note_position(core::GroupName("g"), *primary, now - milliseconds(1400), now, {1, 1});
@@ -216,7 +220,7 @@
   const auto told = owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions;
   ASSERT_EQ(told.size(), 2U);
   EXPECT_EQ(told[0].position, (core::LogPosition{1, 5}));
-  EXPECT_GE(told[0].age_ms, 840U) << "the asker's clock may be faster by 5%";
+  EXPECT_GE(told[0].age_ms, 840U) << "the receiver's clock may be faster by 5%";
   EXPECT_EQ(told[1].position, (core::LogPosition{1, 9}));
   EXPECT_EQ(owner_.backends.known_positions(PositionRequest{group, 810}, now).positions.size(), 1U);
   EXPECT_TRUE(owner_.backends.known_positions(PositionRequest{group, 100}, now).positions.empty());
@@ -330,7 +334,7 @@
   CallerSession session(asking_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   service_.end_idle_transactions(core::BootClock::now() + milliseconds(300), milliseconds(200));
-  EXPECT_EQ(service_.in_progress(), 1U) << "its own daemon ends it first";
+  EXPECT_EQ(service_.in_progress(), 1U) << "the forwarding daemon ends it first";
   service_.end_idle_transactions(core::BootClock::now() + milliseconds(800), milliseconds(200));
   EXPECT_EQ(service_.in_progress(), 0U);
   const StatementReply reply = run(session, example_statement(StatementKind::kCommit, ""));
@@ -356,12 +360,13 @@
 }
 
 TEST_F(StatementForwardTest, AfterASlowRefusalNoOtherOwnerGetsTheOldPosition) {
-  // Both owners are behind the same server here.
+  // Both owners have the address of the same server.
   protocol::Configuration two_owners = configuration_;
   protocol::Daemon second = two_owners.daemons.at(core::DaemonId("owner"));
   second.id = core::DaemonId("owner-2");
   two_owners.daemons[second.id] = second;
-  two_owners.daemons.at(core::DaemonId("asking")).state = protocol::DaemonState::kLeaving;  // Owns nothing.
+  two_owners.daemons.at(core::DaemonId("asking")).state =
+      protocol::DaemonState::kLeaving;  // Holds no connections.
   for (protocol::Database& database : two_owners.groups.begin()->second.databases) {
     database.max_owners = 2;
   }
@@ -377,7 +382,8 @@
   BackendStatement read{example_statement(StatementKind::kRead), core::LogPosition{1, 5}};
   const auto ran = pipitpond::testing::run(io_, lease.value()->run(session, read, milliseconds(1000)));
   ASSERT_FALSE(ran);
-  EXPECT_EQ(ran.error().kind, core::ErrorKind::kConnectionRefused) << "whoever asked may choose anew";
+  EXPECT_EQ(ran.error().kind, core::ErrorKind::kConnectionRefused)
+      << "the caller may choose another database";
   EXPECT_EQ(refused_, 1);
 }
 
