--- a/src/pooling/caller_access.cpp
+++ b/src/pooling/caller_access.cpp
@@ -15,10 +15,10 @@
       options_(options),
       homes_(std::move(zone)),
       home_(self, options.quotas),
-      asker_(io, std::move(self)),
-      take_own_([this](const QuotaAsked& asked) {
-        return home_.take(core::BootClock::now(), asked.tenant, agent_.complete_until(),
-                          tenancy::QuotaDemand{1, asked.priority});
+      quota_client_(io, std::move(self)),
+      take_from_local_home_([this](const QuotaAsked& scope) {
+        return home_.take(core::BootClock::now(), scope.tenant, agent_.complete_until(),
+                          tenancy::QuotaDemand{1, scope.priority});
       }) {}
 
 void CallerAccess::apply(core::Instant now, const protocol::Configuration& configuration) {
@@ -29,11 +29,12 @@
   if (!directory_.keys_needed()) {
     return;
   }
-  asker_.apply(configuration);
-  if (new_table || new_daemons || !admitted_) {
+  quota_client_.apply(configuration);
+  if (new_table || new_daemons || !incarnation_listed_) {
     const auto self = configuration.daemons.find(self_);
-    admitted_ = self != configuration.daemons.end() && self->second.incarnation == agent_.incarnation();
-    home_.apply(now, directory_, homes_, admitted_ ? &self->second : nullptr);
+    incarnation_listed_ =
+        self != configuration.daemons.end() && self->second.incarnation == agent_.incarnation();
+    home_.apply(now, directory_, homes_, incarnation_listed_ ? &self->second : nullptr);
   }
 }
 
@@ -46,22 +47,22 @@
   return tenancy::judge(directory_, route, key, keys_are_certain(now));
 }
 
-awaitable<QuotaAnswer> CallerAccess::take_operation(QuotaAsked asked) {
-  const protocol::Tenant* known = directory_.find(asked.tenant);
-  if (known == nullptr || !known->quota) {
+awaitable<QuotaAnswer> CallerAccess::take_operation(QuotaAsked scope) {
+  const protocol::Tenant* tenant = directory_.find(scope.tenant);
+  if (tenant == nullptr || !tenant->quota) {
     QuotaAnswer unlimited;
     unlimited.outcome = QuotaOutcome::kGranted;
     co_return unlimited;
   }
-  std::vector<core::DaemonId> homes = homes_.of(asked.tenant);
-  co_return co_await asker_.take(std::move(homes), std::move(asked), take_own_);
+  std::vector<core::DaemonId> homes = homes_.of(scope.tenant);
+  co_return co_await quota_client_.take(std::move(homes), std::move(scope), take_from_local_home_);
 }
 
 void CallerAccess::give_back(const QuotaReceipt& receipt) {
   if (receipt.home == self_) {
     home_.give_back(core::BootClock::now(), receipt.operation.tenant, receipt.operation.number);
   } else {
-    asker_.give_back(receipt);
+    quota_client_.give_back(receipt);
   }
 }
 
@@ -71,8 +72,8 @@
     const GivenBackOperation& operation = request.given_back[index];
     home_.give_back(now, operation.tenant, operation.number);
   }
-  return reply_of(home_.take(now, request.tenant, agent_.complete_until(),
-                             tenancy::QuotaDemand{request.operations, request.priority}));
+  return to_quota_reply(home_.take(now, request.tenant, agent_.complete_until(),
+                                   tenancy::QuotaDemand{request.operations, request.priority}));
 }
 
 void CallerAccess::count(tenancy::Verdict verdict) {
--- a/src/pooling/caller_access.hpp
+++ b/src/pooling/caller_access.hpp
@@ -50,7 +50,7 @@
   /// callers with a valid key are refused.
   [[nodiscard]] bool keys_are_certain(core::Instant now) const;
   /// Takes one operation from a tenant's quota. Tenants without a quota get kGranted at once.
-  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaAsked asked);
+  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaAsked scope);
 
   /// Returns a granted operation that definitely did not run.
   void give_back(const QuotaReceipt& receipt);
@@ -64,7 +64,7 @@
   void count(const QuotaAnswer& answer);
   [[nodiscard]] const AccessCounters& counters() const { return counters_; }
   [[nodiscard]] const tenancy::QuotaHome& home() const { return home_; }
-  [[nodiscard]] const QuotaCounters& quota_counters() const { return asker_.counters(); }
+  [[nodiscard]] const QuotaCounters& quota_counters() const { return quota_client_.counters(); }
 
  private:
   agent::Agent& agent_;
@@ -73,10 +73,10 @@
   tenancy::TenantDirectory directory_;
   tenancy::QuotaHomes homes_;
   tenancy::QuotaHome home_;
-  QuotaAsker asker_;
-  TakeOwn take_own_;
+  QuotaAsker quota_client_;
+  TakeOwn take_from_local_home_;
   std::uint64_t table_version_ = 0;
-  bool admitted_ = false;  ///< The configuration lists this incarnation of the daemon.
+  bool incarnation_listed_ = false;  ///< The configuration lists this incarnation of the daemon.
   AccessCounters counters_;
 };
 
--- a/src/pooling/caller_session.cpp
+++ b/src/pooling/caller_session.cpp
@@ -6,12 +6,13 @@
 
 using boost::asio::awaitable;
 
-CallerSession::Transaction::Transaction(protocol::Route its_route, core::TenantName its_tenant,
-                                        BackendChoice its_choice, std::unique_ptr<StatementLease> its_lease)
-    : route(std::move(its_route)),
-      tenant(std::move(its_tenant)),
-      lease(std::move(its_lease)),
-      choice(std::move(its_choice)),
+CallerSession::Transaction::Transaction(protocol::Route begin_route, core::TenantName begin_tenant,
+                                        BackendChoice begin_choice,
+                                        std::unique_ptr<StatementLease> begin_lease)
+    : route(std::move(begin_route)),
+      tenant(std::move(begin_tenant)),
+      lease(std::move(begin_lease)),
+      choice(std::move(begin_choice)),
       failed(false),
       wrote(false),
       rested_since(core::BootClock::now()) {}
@@ -57,7 +58,8 @@
 }
 
 awaitable<StatementReply> CallerSession::dispatch(Statement statement) {
-  const bool ends = statement.kind == StatementKind::kCommit || statement.kind == StatementKind::kRollback;
+  const bool ends_transaction =
+      statement.kind == StatementKind::kCommit || statement.kind == StatementKind::kRollback;
   if (state() == TransactionState::kFailed) {
     co_return end_failed_transaction(statement);
   }
@@ -74,11 +76,11 @@
       break;
   }
   if (statement.kind == StatementKind::kExecute) {
-    const auto known = session_.prepared.find(statement.name);
-    if (known == session_.prepared.end()) {
+    const auto prepared_statement = session_.prepared.find(statement.name);
+    if (prepared_statement == session_.prepared.end()) {
       co_return failed_reply(FailureCode::kNoStatement, statement.name, state());
     }
-    statement.writes = known->second.writes;
+    statement.writes = prepared_statement->second.writes;
   }
   if (transaction_) {
     if (begins_transaction(statement)) {
@@ -86,7 +88,7 @@
     }
     co_return co_await run_in_transaction(std::move(statement));
   }
-  if (ends) {
+  if (ends_transaction) {
     co_return failed_reply(FailureCode::kBad, "no transaction is open", TransactionState::kIdle);
   }
   co_return co_await run_first(std::move(statement));
@@ -114,11 +116,11 @@
 /// kAborted. All other statements are refused.
 StatementReply CallerSession::end_failed_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
-    leave_transaction();
+    close_transaction();
     return succeeded_here(TransactionState::kIdle);
   }
   if (statement.kind == StatementKind::kCommit) {
-    leave_transaction();
+    close_transaction();
     return failed_reply(FailureCode::kAborted, "the transaction has failed", TransactionState::kIdle);
   }
   return failed_reply(FailureCode::kBad, "the transaction has failed", TransactionState::kFailed);
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -60,8 +60,8 @@
  private:
   /// An open transaction and the connection that it holds.
   struct Transaction {
-    Transaction(protocol::Route its_route, core::TenantName its_tenant, BackendChoice its_choice,
-                std::unique_ptr<StatementLease> its_lease);
+    Transaction(protocol::Route begin_route, core::TenantName begin_tenant, BackendChoice begin_choice,
+                std::unique_ptr<StatementLease> begin_lease);
 
     protocol::Route route;
     core::TenantName tenant;                ///< The tenant that began it.
@@ -79,14 +79,14 @@
   };
 
   /// State of a statement outside a transaction, or of a BEGIN, across its attempts at databases.
-  struct Search {
+  struct PendingStatement {
     protocol::Route route;
     tenancy::Access access;
     Statement statement;
     core::Instant started;
     core::Instant deadline;                     ///< End of the statement's timeout.
     core::Instant goal = core::Instant::max();  ///< A later answer misses the route's goal.
-    core::Instant stop_waiting;                 ///< Given up if no database has accepted it by then.
+    core::Instant wait_deadline;                ///< Given up if no database has accepted it by then.
     bool needs_primary = false;
     std::set<core::DatabaseId> avoided;      ///< Databases that failed for this statement.
     std::optional<core::LogPosition> after;  ///< Log position required of the last database.
@@ -94,7 +94,7 @@
     std::optional<QuotaReceipt> quota;       ///< For the operation granted by the tenant's homes.
     bool may_have_run = false;               ///< At any database, whatever the last reply says.
     Failure last_failure;
-    core::Duration pause{};  ///< Delay before the next attempt.
+    core::Duration retry_delay{};  ///< Delay before the next attempt.
     /// How long a read may queue at another daemon: its position must still satisfy the staleness bound after
     /// that time.
     core::Duration longest_wait{};
@@ -110,46 +110,48 @@
 
   boost::asio::awaitable<StatementReply> run_first(Statement statement);
   /// Checks the caller's key and takes one operation from its tenant's quota. Returns the reply if refused.
-  boost::asio::awaitable<std::optional<StatementReply>> refuse_or_admit(Search& search);
+  boost::asio::awaitable<std::optional<StatementReply>> check_admission(PendingStatement& pending);
   /// Checks the caller's key. Returns the reply if it is refused, nothing if it is valid and still belongs to
-  /// the tenant that the search began with.
-  std::optional<StatementReply> refuse_key(Search& search) const;
-  std::optional<StatementReply> refuse_key_in_transaction(const Statement& statement);
-  boost::asio::awaitable<StatementReply> search_until_answered(Search& search);
+  /// the tenant that the statement was admitted for.
+  std::optional<StatementReply> check_caller_key(PendingStatement& pending) const;
+  std::optional<StatementReply> check_caller_key_in_transaction(const Statement& statement);
+  boost::asio::awaitable<StatementReply> run_until_answered(PendingStatement& pending);
   /// Returns the operation to the tenant's quota if the statement definitely did not run at any database.
-  void give_back_if_not_run(const Search& search, const StatementReply& reply) const;
-  void write_trace(const Search& search, const StatementReply& reply) const;
-  void write_transaction_failure(const Statement& statement, core::Instant sent,
-                                 const TransactionPlace& place, TraceEvent event,
-                                 const StatementReply& reply) const;
-  std::optional<Search> begin_search(Statement statement) const;
-  [[nodiscard]] BackendNeed need_of(const Search& search, core::Instant now) const;
+  void give_back_if_not_run(const PendingStatement& pending, const StatementReply& reply) const;
+  void log_trace(const PendingStatement& pending, const StatementReply& reply) const;
+  void log_transaction_failure(const Statement& statement, core::Instant sent, const TransactionPlace& place,
+                               TraceEvent event, const StatementReply& reply) const;
+  std::optional<PendingStatement> begin_statement(Statement statement) const;
+  [[nodiscard]] BackendNeed need_of(const PendingStatement& pending, core::Instant now) const;
   /// True for a read that only the primary can serve, because no log position is known to require of a
   /// replica.
-  [[nodiscard]] static bool lacks_position(const Search& search, const BackendNeed& need);
+  [[nodiscard]] static bool lacks_position(const PendingStatement& pending, const BackendNeed& need);
   /// Why a read must not be sent to any database yet; null if it may.
-  [[nodiscard]] const char* reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now);
-  [[nodiscard]] bool surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
-                                  core::Instant now) const;
-  [[nodiscard]] ConnectionRequest connection_request(const Search& search) const;
-  boost::asio::awaitable<std::optional<StatementReply>> attempt(Search& search);
-  boost::asio::awaitable<std::optional<StatementReply>> attempt_at(Search& search, BackendChoice choice,
+  [[nodiscard]] const char* reason_to_wait(const PendingStatement& pending, const BackendNeed& need,
+                                           core::Instant now);
+  [[nodiscard]] bool surely_fresh(const PendingStatement& pending, const BackendChoice& choice,
+                                  const BackendNeed& need, core::Instant now) const;
+  [[nodiscard]] ConnectionRequest connection_request(const PendingStatement& pending) const;
+  boost::asio::awaitable<std::optional<StatementReply>> attempt(PendingStatement& pending);
+  boost::asio::awaitable<std::optional<StatementReply>> attempt_at(PendingStatement& pending,
+                                                                   BackendChoice choice,
                                                                    std::unique_ptr<StatementLease> lease);
-  std::optional<StatementReply> on_lost(Search& search, const BackendChoice& choice,
-                                        const core::Error& error);
-  std::optional<StatementReply> on_failure(Search& search, const BackendChoice& choice, StatementReply reply);
-  StatementReply accept(const Search& search, const BackendChoice& choice,
-                        std::unique_ptr<StatementLease> lease, StatementReply reply);
-  StatementReply give_up(const Search& search) const;
+  std::optional<StatementReply> on_attempt_lost(PendingStatement& pending, const BackendChoice& choice,
+                                                const core::Error& error);
+  std::optional<StatementReply> on_attempt_failed(PendingStatement& pending, const BackendChoice& choice,
+                                                  StatementReply reply);
+  StatementReply accept_reply(const PendingStatement& pending, const BackendChoice& choice,
+                              std::unique_ptr<StatementLease> lease, StatementReply reply);
+  StatementReply give_up(const PendingStatement& pending) const;
 
   boost::asio::awaitable<StatementReply> run_in_transaction(Statement statement);
   boost::asio::awaitable<core::Result<StatementReply>> run_on_lease(const Statement& statement,
                                                                     core::Instant deadline);
   StatementReply on_transaction_lost(const Statement& statement, const core::Error& error);
   void after_transaction_statement(const Statement& statement, const StatementReply& reply);
-  void leave_transaction();
+  void close_transaction();
 
-  void note_own_position(const StatementReply& reply);
+  void note_own_write(const StatementReply& reply);
   void count(const StatementReply& reply);
 
   SessionServices& services_;
@@ -157,7 +159,7 @@
   protocol::KeyDigest key_;
   SessionState session_;
   std::optional<Transaction> transaction_;
-  std::optional<core::LogPosition> own_position_;  ///< Of this session's last acknowledged write.
+  std::optional<core::LogPosition> own_write_position_;  ///< Of this session's last acknowledged write.
   bool running_ = false;
 };
 
--- a/src/pooling/caller_session_access.cpp
+++ b/src/pooling/caller_session_access.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /// Retry hint when the key table here may be out of date; other daemons may serve the caller at once.
-constexpr core::Duration kKeysComeBack = std::chrono::milliseconds(200);
+constexpr core::Duration kUncertainKeysRetryAfter = std::chrono::milliseconds(200);
 
-std::string come_back_in(core::Duration duration, const std::string& reason) {
+std::string retry_message(core::Duration duration, const std::string& reason) {
   return "retry in " + std::to_string(core::to_millis(duration)) + " ms: " + reason;
 }
 
@@ -21,7 +21,8 @@
   if (verdict == tenancy::Verdict::kUnknownKey) {
     return failed_reply(FailureCode::kDenied, "no tenant holds this key", TransactionState::kIdle);
   }
-  const std::string text = come_back_in(kKeysComeBack, "this daemon's key table may be out of date");
+  const std::string text =
+      retry_message(kUncertainKeysRetryAfter, "this daemon's key table may be out of date");
   return failed_reply(FailureCode::kBusy, text, TransactionState::kIdle);
 }
 
@@ -35,57 +36,56 @@
 
 }  // namespace
 
-std::optional<StatementReply> CallerSession::refuse_key(Search& search) const {
+std::optional<StatementReply> CallerSession::check_caller_key(PendingStatement& pending) const {
   const core::Instant now = core::BootClock::now();
-  tenancy::Access access = services_.access.judge(search.route, key_, now);
-  const bool begun = search.access.verdict == tenancy::Verdict::kAllowed;
+  tenancy::Access access = services_.access.judge(pending.route, key_, now);
+  const bool admitted = pending.access.verdict == tenancy::Verdict::kAllowed;
   const bool allowed = access.verdict == tenancy::Verdict::kAllowed;
-  const bool other_tenant = allowed && begun && access.tenant != search.access.tenant;
-  if (other_tenant) {
-    access.verdict =
-        tenancy::Verdict::kUncertain;  // The key moved to another tenant meanwhile: the caller must retry.
+  const bool key_moved = allowed && admitted && access.tenant != pending.access.tenant;
+  if (key_moved) {
+    access.verdict = tenancy::Verdict::kUncertain;  // The key moved meanwhile: the caller must retry.
   }
   if (access.verdict == tenancy::Verdict::kAllowed) {
-    search.access = std::move(access);
+    pending.access = std::move(access);
     return std::nullopt;
   }
   services_.access.count(access.verdict);
-  log_refusal(search.statement, search.access.tenant, tenancy::to_string(access.verdict),
-              services_.access.proof_age(now), kKeysComeBack);
+  log_refusal(pending.statement, pending.access.tenant, tenancy::to_string(access.verdict),
+              services_.access.proof_age(now), kUncertainKeysRetryAfter);
   return refusal_of(access.verdict);
 }
 
-void CallerSession::give_back_if_not_run(const Search& search, const StatementReply& reply) const {
-  const bool not_run = reply.failure && surely_not_run(reply.failure->code) && !search.may_have_run;
-  if (search.quota && not_run) {
-    services_.access.give_back(*search.quota);
+void CallerSession::give_back_if_not_run(const PendingStatement& pending, const StatementReply& reply) const {
+  const bool not_run = reply.failure && surely_not_run(reply.failure->code) && !pending.may_have_run;
+  if (pending.quota && not_run) {
+    services_.access.give_back(*pending.quota);
   }
 }
 
-awaitable<std::optional<StatementReply>> CallerSession::refuse_or_admit(Search& search) {
-  if (auto refusal = refuse_key(search)) {
+awaitable<std::optional<StatementReply>> CallerSession::check_admission(PendingStatement& pending) {
+  if (auto refusal = check_caller_key(pending)) {
     co_return refusal;
   }
-  QuotaAsked asked{search.access.tenant, search.route.priority};
-  const QuotaAnswer answer = co_await services_.access.take_operation(std::move(asked));
+  QuotaAsked scope{pending.access.tenant, pending.route.priority};
+  const QuotaAnswer answer = co_await services_.access.take_operation(std::move(scope));
   if (answer.outcome == QuotaOutcome::kGranted) {
-    search.quota = answer.receipt;
+    pending.quota = answer.receipt;
     co_return std::nullopt;
   }
   services_.access.count(answer);
   const bool over = answer.outcome == QuotaOutcome::kOverQuota;
   const char* reason = over ? "over_quota" : "quota_not_told";
   const std::string text =
-      come_back_in(answer.retry_in, over ? "the tenant has used up its quota"
-                                         : "no daemon that grants the tenant's quota answered");
-  log_refusal(search.statement, search.access.tenant, reason,
+      retry_message(answer.retry_in, over ? "the tenant has used up its quota"
+                                          : "no daemon that grants the tenant's quota answered");
+  log_refusal(pending.statement, pending.access.tenant, reason,
               services_.access.proof_age(core::BootClock::now()), answer.retry_in);
   co_return failed_reply(over ? FailureCode::kOverQuota : FailureCode::kBusy, text, TransactionState::kIdle);
 }
 
 /// Ends a transaction whose key was removed or moved to another tenant: its connection belongs to the tenant
 /// that began it. A ROLLBACK is always allowed.
-std::optional<StatementReply> CallerSession::refuse_key_in_transaction(const Statement& statement) {
+std::optional<StatementReply> CallerSession::check_caller_key_in_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
     return std::nullopt;
   }
@@ -99,14 +99,14 @@
       access.verdict == tenancy::Verdict::kAllowed ? tenancy::Verdict::kUnknownKey : access.verdict;
   services_.access.count(verdict);
   log_refusal(statement, transaction_->tenant, tenancy::to_string(verdict), services_.access.proof_age(now),
-              kKeysComeBack);
-  const bool ends = statement.kind == StatementKind::kCommit;
+              kUncertainKeysRetryAfter);
+  const bool is_commit = statement.kind == StatementKind::kCommit;
   StatementReply refusal = refusal_of(verdict);
   if (verdict == tenancy::Verdict::kUncertain) {
     refusal.failure->code = FailureCode::kAborted;
   }
-  if (ends) {
-    leave_transaction();
+  if (is_commit) {
+    close_transaction();
     return refusal;
   }
   transaction_->lease.reset();
--- a/src/pooling/caller_session_search.cpp
+++ b/src/pooling/caller_session_search.cpp
@@ -14,23 +14,23 @@
 
 /// Fraction of its timeout after which a statement without a database is given up, so that the caller has
 /// time left to retry.
-constexpr int kWaitingShareNumerator = 2;
-constexpr int kWaitingShareDenominator = 5;
+constexpr int kWaitNumerator = 2;
+constexpr int kWaitDenominator = 5;
 /// A read that failed at one database may look for another one for this long.
-constexpr core::Duration kSecondSearch = std::chrono::milliseconds(150);
-/// Most runs of a read, including the first, if each of them fails.
-constexpr std::uint32_t kReadAttempts = 3;
+constexpr core::Duration kReadRetryWindow = std::chrono::milliseconds(150);
+/// Limit on the runs of a read that keeps failing, including the first.
+constexpr std::uint32_t kMaxReadRuns = 3;
 /// A failover usually completes within this time of the primary's loss. Statements wait for the new primary
 /// until then.
-constexpr core::Duration kUsualPrimaryChange = std::chrono::milliseconds(3000);
+constexpr core::Duration kTypicalFailover = std::chrono::milliseconds(3000);
 constexpr core::Duration kBusyPause = std::chrono::milliseconds(10);
 constexpr core::Duration kNoBackendPause = std::chrono::milliseconds(15);
-constexpr core::Duration kCertaintyPause = std::chrono::milliseconds(10);
+constexpr core::Duration kUnconfirmedPrimaryPause = std::chrono::milliseconds(10);
 /// Retry hint for a caller whose statement was given up.
-constexpr core::Duration kComeBackAfter = std::chrono::milliseconds(100);
+constexpr core::Duration kRetryAfter = std::chrono::milliseconds(100);
 
-std::string come_back_text(const std::string& reason) {
-  return "retry in " + std::to_string(core::to_millis(kComeBackAfter)) + " ms: " + reason;
+std::string retry_message(const std::string& reason) {
+  return "retry in " + std::to_string(core::to_millis(kRetryAfter)) + " ms: " + reason;
 }
 
 core::Duration time_left(core::Instant deadline, core::Instant now) {
@@ -39,120 +39,123 @@
 
 }  // namespace
 
-std::optional<CallerSession::Search> CallerSession::begin_search(Statement statement) const {
+std::optional<CallerSession::PendingStatement> CallerSession::begin_statement(Statement statement) const {
   auto route = services_.routes.find(database_);
   if (!route) {
     return std::nullopt;
   }
-  Search search;
+  PendingStatement pending;
   const core::Duration timeout = std::chrono::milliseconds(route->timeout_ms);
-  search.started = core::BootClock::now();
-  search.trace = RequestTrace(search.started);
-  search.deadline = search.started + timeout;
-  search.stop_waiting = search.started + timeout * kWaitingShareNumerator / kWaitingShareDenominator;
+  pending.started = core::BootClock::now();
+  pending.trace = RequestTrace(pending.started);
+  pending.deadline = pending.started + timeout;
+  pending.wait_deadline = pending.started + timeout * kWaitNumerator / kWaitDenominator;
   if (route->goal_ms > 0) {
-    search.goal = search.started + std::chrono::milliseconds(route->goal_ms);
-  }
-  search.needs_primary = route->kind == protocol::RouteKind::kPrimary || may_write(statement) ||
-                         statement.kind == StatementKind::kBegin;
-  search.route = std::move(*route);
-  search.statement = std::move(statement);
-  search.last_failure = Failure{FailureCode::kBusy, "no database can serve the statement now"};
-  return search;
+    pending.goal = pending.started + std::chrono::milliseconds(route->goal_ms);
+  }
+  pending.needs_primary = route->kind == protocol::RouteKind::kPrimary || may_write(statement) ||
+                          statement.kind == StatementKind::kBegin;
+  pending.route = std::move(*route);
+  pending.statement = std::move(statement);
+  pending.last_failure = Failure{FailureCode::kBusy, "no database can serve the statement now"};
+  return pending;
 }
 
 awaitable<StatementReply> CallerSession::run_first(Statement statement) {
-  auto search = begin_search(std::move(statement));
-  if (!search) {
+  auto pending = begin_statement(std::move(statement));
+  if (!pending) {
     co_return failed_reply(FailureCode::kUnknownDatabase, database_, TransactionState::kIdle);
   }
-  auto refusal = co_await refuse_or_admit(*search);
+  auto refusal = co_await check_admission(*pending);
   if (refusal) {
-    write_trace(*search, *refusal);
+    log_trace(*pending, *refusal);
     co_return std::move(*refusal);
   }
-  StatementReply reply = co_await search_until_answered(*search);
-  give_back_if_not_run(*search, reply);
-  write_trace(*search, reply);
+  StatementReply reply = co_await run_until_answered(*pending);
+  give_back_if_not_run(*pending, reply);
+  log_trace(*pending, reply);
   co_return reply;
 }
 
-awaitable<StatementReply> CallerSession::search_until_answered(Search& search) {
+awaitable<StatementReply> CallerSession::run_until_answered(PendingStatement& pending) {
   while (true) {
-    auto reply = co_await attempt(search);
+    auto reply = co_await attempt(pending);
     if (reply) {
       co_return std::move(*reply);
     }
     const core::Instant now = core::BootClock::now();
     // A failover that exceeds its usual time tends to take long, so further waiting is of no use.
-    const bool hopeless = services_.backends.without_primary(search.route.group, now) >= kUsualPrimaryChange;
-    if (now >= search.stop_waiting || hopeless) {
-      co_return give_up(search);
+    const bool failover_overdue =
+        services_.backends.without_primary(pending.route.group, now) >= kTypicalFailover;
+    if (now >= pending.wait_deadline || failover_overdue) {
+      co_return give_up(pending);
     }
-    if (search.pause > core::Duration::zero()) {
-      co_await pause_for(services_.io, std::min(search.pause, search.stop_waiting - now));
-      search.pause = core::Duration::zero();
+    if (pending.retry_delay > core::Duration::zero()) {
+      co_await pause_for(services_.io, std::min(pending.retry_delay, pending.wait_deadline - now));
+      pending.retry_delay = core::Duration::zero();
     }
   }
 }
 
 /// Records the statement's time, and logs the trace of failures and of answers later than the route's goal.
 /// Errors that are answered before a route is found leave no trace.
-void CallerSession::write_trace(const Search& search, const StatementReply& reply) const {
+void CallerSession::log_trace(const PendingStatement& pending, const StatementReply& reply) const {
   const core::Instant now = core::BootClock::now();
-  const core::Duration goal = std::chrono::milliseconds(search.route.goal_ms);
-  const bool late = goal > core::Duration::zero() && search.trace.taken(now) > goal;
-  services_.times.observe(search.route.kind, !reply.failure, search.trace.taken(now));
+  const core::Duration goal = std::chrono::milliseconds(pending.route.goal_ms);
+  const bool late = goal > core::Duration::zero() && pending.trace.elapsed(now) > goal;
+  services_.times.observe(pending.route.kind, !reply.failure, pending.trace.elapsed(now));
   if (!reply.failure && !late) {
     return;
   }
-  const TraceSubject subject{search.statement.id, search.route.name, search.route.group,
+  const TraceSubject subject{pending.statement.id, pending.route.name, pending.route.group,
                              services_.routes.version(), services_.backends.revision()};
-  search.trace.write(now, subject, reply);
+  pending.trace.write(now, subject, reply);
 }
 
-StatementReply CallerSession::give_up(const Search& search) const {
+StatementReply CallerSession::give_up(const PendingStatement& pending) const {
   ++services_.counters.given_up;
-  Failure failure = search.last_failure;
+  Failure failure = pending.last_failure;
   if (surely_not_run(failure.code)) {
-    failure = Failure{FailureCode::kBusy, come_back_text(failure.text)};
+    failure = Failure{FailureCode::kBusy, retry_message(failure.text)};
   }
   return failed_reply(failure.code, failure.text, TransactionState::kIdle);
 }
 
-BackendNeed CallerSession::need_of(const Search& search, core::Instant now) const {
+BackendNeed CallerSession::need_of(const PendingStatement& pending, core::Instant now) const {
   BackendNeed need;
-  need.primary = search.needs_primary;
-  need.avoided = search.avoided;
-  if (search.route.kind == protocol::RouteKind::kPrimary) {
+  need.primary = pending.needs_primary;
+  need.avoided = pending.avoided;
+  if (pending.route.kind == protocol::RouteKind::kPrimary) {
     return need;
   }
-  const core::Duration staleness = std::chrono::milliseconds(search.route.max_staleness_ms);
-  need.after = services_.backends.position_for(search.route.group, staleness, now);
-  const bool own_matters = search.route.kind == protocol::RouteKind::kSession && own_position_.has_value();
-  if (need.after && own_matters) {
-    need.after = std::max(*need.after, *own_position_);
+  const core::Duration staleness = std::chrono::milliseconds(pending.route.max_staleness_ms);
+  need.after = services_.backends.position_for(pending.route.group, staleness, now);
+  const bool needs_own_writes =
+      pending.route.kind == protocol::RouteKind::kSession && own_write_position_.has_value();
+  if (need.after && needs_own_writes) {
+    need.after = std::max(*need.after, *own_write_position_);
   }
   return need;
 }
 
-bool CallerSession::lacks_position(const Search& search, const BackendNeed& need) {
-  return !need.primary && !need.after && !may_write(search.statement);
+bool CallerSession::lacks_position(const PendingStatement& pending, const BackendNeed& need) {
+  return !need.primary && !need.after && !may_write(pending.statement);
 }
 
 /// Without a known position, only the primary can serve a read or begin a transaction. One such read at a
 /// time fetches the position for all. Without a lease from control the primary may have been replaced, so the
 /// databases are first asked which of them is the primary.
-const char* CallerSession::reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now) {
-  if (may_write(search.statement) || need.after) {
+const char* CallerSession::reason_to_wait(const PendingStatement& pending, const BackendNeed& need,
+                                          core::Instant now) {
+  if (may_write(pending.statement) || need.after) {
     return nullptr;
   }
-  const core::GroupName& group = search.route.group;
-  if (services_.backends.primary_shown_since(group, search.started)) {
+  const core::GroupName& group = pending.route.group;
+  if (services_.backends.primary_shown_since(group, pending.started)) {
     return nullptr;
   }
   if (!services_.backends.may_trust_primaries(now)) {
-    services_.backends.ask_databases(group, search.started, now);
+    services_.backends.ask_databases(group, pending.started, now);
     return "the current primary is not confirmed";
   }
   if (!need.primary && services_.backends.awaits_position(group)) {
@@ -165,153 +168,156 @@
 }
 
 // A separate function because GCC 12 destroys a temporary of such an initializer twice in a coroutine.
-ConnectionRequest CallerSession::connection_request(const Search& search) const {
+ConnectionRequest CallerSession::connection_request(const PendingStatement& pending) const {
   ConnectionRequest request;
-  request.priority = search.route.priority;
-  request.deadline = search.stop_waiting;
+  request.priority = pending.route.priority;
+  request.deadline = pending.wait_deadline;
   request.session = &session_;
-  request.goal = search.goal;
-  request.tenant = search.access.tenant;
-  request.since = search.started;
+  request.goal = pending.goal;
+  request.tenant = pending.access.tenant;
+  request.since = pending.started;
   return request;
 }
 
-awaitable<std::optional<StatementReply>> CallerSession::attempt(Search& search) {
-  if (lacks_position(search, need_of(search, core::BootClock::now() + search.longest_wait))) {
-    co_await services_.backends.ask_position(search.route.group,
-                                             std::chrono::milliseconds(search.route.max_staleness_ms));
+awaitable<std::optional<StatementReply>> CallerSession::attempt(PendingStatement& pending) {
+  if (lacks_position(pending, need_of(pending, core::BootClock::now() + pending.longest_wait))) {
+    co_await services_.backends.ask_position(pending.route.group,
+                                             std::chrono::milliseconds(pending.route.max_staleness_ms));
   }
   const core::Instant now = core::BootClock::now();
-  if (auto refusal = refuse_key(search)) {
+  if (auto refusal = check_caller_key(pending)) {
     co_return refusal;  // The statement may have waited for long since it was admitted.
   }
-  const BackendNeed need = need_of(search, now + search.longest_wait);
-  if (const char* reason = reason_to_wait(search, need, now)) {
-    search.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
-    search.last_failure = Failure{FailureCode::kBusy, reason};
-    search.pause = kCertaintyPause;
+  const BackendNeed need = need_of(pending, now + pending.longest_wait);
+  if (const char* reason = reason_to_wait(pending, need, now)) {
+    pending.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
+    pending.last_failure = Failure{FailureCode::kBusy, reason};
+    pending.retry_delay = kUnconfirmedPrimaryPause;
     co_return std::nullopt;
   }
-  auto choice = services_.backends.choose(search.route.group, need, now);
+  auto choice = services_.backends.choose(pending.route.group, need, now);
   if (!choice) {
-    search.trace.add(now, TraceStep{{}, TraceEvent::kNoBackend, {}, 0, {}, search.last_failure.text});
-    search.avoided.clear();
-    search.pause = kNoBackendPause;
+    pending.trace.add(now, TraceStep{{}, TraceEvent::kNoBackend, {}, 0, {}, pending.last_failure.text});
+    pending.avoided.clear();
+    pending.retry_delay = kNoBackendPause;
     co_return std::nullopt;
   }
-  const ConnectionRequest request = connection_request(search);
+  const ConnectionRequest request = connection_request(pending);
   auto lease = co_await services_.backends.acquire(*choice, request);
   if (!lease) {
-    search.last_failure = Failure{FailureCode::kBusy, lease.error().message};
-    search.trace.add(core::BootClock::now(),
-                     step_at(*choice, TraceEvent::kNoConnection, lease.error().message));
-    search.avoided.insert(choice->pool->address().database);
-    search.pause = choice->is_primary ? kBusyPause : core::Duration::zero();
+    pending.last_failure = Failure{FailureCode::kBusy, lease.error().message};
+    pending.trace.add(core::BootClock::now(),
+                      step_at(*choice, TraceEvent::kNoConnection, lease.error().message));
+    pending.avoided.insert(choice->pool->address().database);
+    pending.retry_delay = choice->is_primary ? kBusyPause : core::Duration::zero();
     co_return std::nullopt;
   }
-  co_return co_await attempt_at(search, std::move(*choice), std::move(lease.value()));
+  co_return co_await attempt_at(pending, std::move(*choice), std::move(lease.value()));
 }
 
-awaitable<std::optional<StatementReply>> CallerSession::attempt_at(Search& search, BackendChoice choice,
+awaitable<std::optional<StatementReply>> CallerSession::attempt_at(PendingStatement& pending,
+                                                                   BackendChoice choice,
                                                                    std::unique_ptr<StatementLease> lease) {
   const core::Instant sent = core::BootClock::now();
   // The wait for a connection may have been long and may continue at another daemon, so the position that
   // satisfied the staleness bound when the database was chosen may be too old when the statement runs.
-  if (auto refusal = refuse_key(search)) {
+  if (auto refusal = check_caller_key(pending)) {
     co_return refusal;
   }
-  const BackendNeed need = need_of(search, sent + lease->longest_wait());
-  if (!choice.is_primary && lacks_position(search, need)) {
+  const BackendNeed need = need_of(pending, sent + lease->longest_wait());
+  if (!choice.is_primary && lacks_position(pending, need)) {
     // A replica's answer would not be provably recent. The next attempt allows for such a wait.
-    search.longest_wait = lease->longest_wait();
+    pending.longest_wait = lease->longest_wait();
     co_return std::nullopt;
   }
-  BackendStatement statement{search.statement, {}};
-  if (!may_write(search.statement)) {
+  BackendStatement statement{pending.statement, {}};
+  if (!may_write(pending.statement)) {
     statement.after = need.after;
-    search.after = need.after;
+    pending.after = need.after;
   }
   TraceStep sending = step_at(choice, TraceEvent::kSent, choice.is_primary ? "primary" : "replica");
   sending.after = statement.after;
-  search.trace.add(sent, std::move(sending));
-  auto ran = co_await lease->run(session_, std::move(statement), time_left(search.deadline, sent));
+  pending.trace.add(sent, std::move(sending));
+  auto result = co_await lease->run(session_, std::move(statement), time_left(pending.deadline, sent));
   const core::Instant now = core::BootClock::now();
-  if (!ran) {
-    co_return on_lost(search, choice, ran.error());
+  if (!result) {
+    co_return on_attempt_lost(pending, choice, result.error());
   }
-  StatementReply reply = std::move(ran.value());
-  search.may_have_run |= !reply.failure || !surely_not_run(reply.failure->code);
+  StatementReply reply = std::move(result.value());
+  pending.may_have_run |= !reply.failure || !surely_not_run(reply.failure->code);
   if (reply.position) {
-    services_.backends.note_position(search.route.group, choice, sent, now, *reply.position);
+    services_.backends.note_position(pending.route.group, choice, sent, now, *reply.position);
   }
-  if (reply.position && !reply.failure && may_write(search.statement)) {
-    services_.backends.note_acknowledged_write(search.route.group, choice, sent, *reply.position);
+  if (reply.position && !reply.failure && may_write(pending.statement)) {
+    services_.backends.note_acknowledged_write(pending.route.group, choice, sent, *reply.position);
   }
   if (reply.failure) {
     if (reply.failure->code == FailureCode::kNoStatement) {
       lease->discard();  // The connection's prepared statements differ from its recorded state.
     }
-    co_return on_failure(search, choice, std::move(reply));
-  }
-  if (!may_write(search.statement) && !surely_fresh(search, choice, need, now)) {
-    search.last_failure = Failure{FailureCode::kBusy, "the current primary is not confirmed"};
-    search.trace.add(now,
-                     step_at(choice, TraceEvent::kNotCertain, "no valid lease, or a newer term has begun"));
-    search.pause = kNoBackendPause;
-    if (begins_transaction(search.statement)) {
+    co_return on_attempt_failed(pending, choice, std::move(reply));
+  }
+  if (!may_write(pending.statement) && !surely_fresh(pending, choice, need, now)) {
+    pending.last_failure = Failure{FailureCode::kBusy, "the current primary is not confirmed"};
+    pending.trace.add(now,
+                      step_at(choice, TraceEvent::kNotCertain, "no valid lease, or a newer term has begun"));
+    pending.retry_delay = kNoBackendPause;
+    if (begins_transaction(pending.statement)) {
       lease->discard();
     }
     co_return std::nullopt;
   }
-  co_return accept(search, choice, std::move(lease), std::move(reply));
+  co_return accept_reply(pending, choice, std::move(lease), std::move(reply));
 }
 
 /// A read is fresh if the database had to reach a required position. On routes whose reads must see every
 /// write only the primary qualifies, as confirmed by control's lease or by the databases after the read
 /// arrived.
-bool CallerSession::surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
-                                 core::Instant now) const {
-  const bool by_position = search.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
+bool CallerSession::surely_fresh(const PendingStatement& pending, const BackendChoice& choice,
+                                 const BackendNeed& need, core::Instant now) const {
+  const bool by_position = pending.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
   const Backends& backends = services_.backends;
-  const core::GroupName& group = search.route.group;
-  const bool shown = choice.is_primary && backends.is_primary(group, choice.pool->address().database) &&
-                     backends.primary_shown_since(group, search.started);
-  return by_position || shown || backends.surely_primary(group, choice, now);
+  const core::GroupName& group = pending.route.group;
+  const bool confirmed = choice.is_primary && backends.is_primary(group, choice.pool->address().database) &&
+                         backends.primary_shown_since(group, pending.started);
+  return by_position || confirmed || backends.surely_primary(group, choice, now);
 }
 
-std::optional<StatementReply> CallerSession::on_lost(Search& search, const BackendChoice& choice,
-                                                     const core::Error& error) {
+std::optional<StatementReply> CallerSession::on_attempt_lost(PendingStatement& pending,
+                                                             const BackendChoice& choice,
+                                                             const core::Error& error) {
   const core::Instant now = core::BootClock::now();
-  search.avoided.insert(choice.pool->address().database);
-  search.last_failure = Failure{FailureCode::kBusy, error.message};
-  search.trace.add(now, step_at(choice, TraceEvent::kLost, error.message));
+  pending.avoided.insert(choice.pool->address().database);
+  pending.last_failure = Failure{FailureCode::kBusy, error.message};
+  pending.trace.add(now, step_at(choice, TraceEvent::kLost, error.message));
   if (error.kind == core::ErrorKind::kConnectionRefused) {
     return std::nullopt;
   }
-  search.may_have_run = true;
-  if (may_write(search.statement)) {
+  pending.may_have_run = true;
+  if (may_write(pending.statement)) {
     return failed_reply(FailureCode::kUnsure, error.message, TransactionState::kIdle);
   }
-  const bool timed_out = error.kind == core::ErrorKind::kTimeout || now >= search.deadline;
-  if (timed_out || ++search.failed_reads >= kReadAttempts) {
+  const bool timed_out = error.kind == core::ErrorKind::kTimeout || now >= pending.deadline;
+  if (timed_out || ++pending.failed_reads >= kMaxReadRuns) {
     const FailureCode code = timed_out ? FailureCode::kTimeout : FailureCode::kAborted;
     return failed_reply(code, error.message, TransactionState::kIdle);
   }
   ++services_.counters.retried;
-  search.stop_waiting = std::min(search.deadline, std::max(search.stop_waiting, now + kSecondSearch));
+  pending.wait_deadline = std::min(pending.deadline, std::max(pending.wait_deadline, now + kReadRetryWindow));
   return std::nullopt;
 }
 
-std::optional<StatementReply> CallerSession::on_failure(Search& search, const BackendChoice& choice,
-                                                        StatementReply reply) {
+std::optional<StatementReply> CallerSession::on_attempt_failed(PendingStatement& pending,
+                                                               const BackendChoice& choice,
+                                                               StatementReply reply) {
   BackendPool& pool = *choice.pool;
-  search.last_failure = *reply.failure;
+  pending.last_failure = *reply.failure;
   const FailureCode code = reply.failure->code;
-  search.trace.add(
+  pending.trace.add(
       core::BootClock::now(),
       step_at(choice, surely_not_run(code) ? TraceEvent::kNotRun : TraceEvent::kFailed, to_string(code)));
   if (code == FailureCode::kBehind) {
-    pool.reach().note_lacking(core::BootClock::now(), search.after.value_or(core::LogPosition{}));
+    pool.reach().note_lacking(core::BootClock::now(), pending.after.value_or(core::LogPosition{}));
   }
   if (code == FailureCode::kReadOnly && choice.is_primary) {
     pool.health().on_refused_write();
@@ -319,44 +325,46 @@
   if (surely_not_run(code)) {
     ++services_.counters.retried;
     if (choice.is_primary) {
-      search.pause = code == FailureCode::kReadOnly ? kNoBackendPause : kBusyPause;
+      pending.retry_delay = code == FailureCode::kReadOnly ? kNoBackendPause : kBusyPause;
     } else {
-      search.avoided.insert(pool.address().database);
+      pending.avoided.insert(pool.address().database);
     }
     return std::nullopt;
   }
   const bool ran_and_failed = code == FailureCode::kFailed || code == FailureCode::kTimeout;
-  const bool again = ran_and_failed && !may_write(search.statement) && ++search.failed_reads < kReadAttempts;
-  if (again) {
+  const bool may_retry =
+      ran_and_failed && !may_write(pending.statement) && ++pending.failed_reads < kMaxReadRuns;
+  if (may_retry) {
     ++services_.counters.retried;
-    search.avoided.insert(pool.address().database);
-    search.stop_waiting =
-        std::min(search.deadline, std::max(search.stop_waiting, core::BootClock::now() + kSecondSearch));
+    pending.avoided.insert(pool.address().database);
+    pending.wait_deadline = std::min(
+        pending.deadline, std::max(pending.wait_deadline, core::BootClock::now() + kReadRetryWindow));
     return std::nullopt;
   }
   reply.state = TransactionState::kIdle;
   return reply;
 }
 
-StatementReply CallerSession::accept(const Search& search, const BackendChoice& choice,
-                                     std::unique_ptr<StatementLease> lease, StatementReply reply) {
-  if (search.after) {
-    choice.pool->reach().note_reached(*search.after);
-  }
-  if (may_write(search.statement)) {
-    note_own_position(reply);
-  } else if (!begins_transaction(search.statement)) {
+StatementReply CallerSession::accept_reply(const PendingStatement& pending, const BackendChoice& choice,
+                                           std::unique_ptr<StatementLease> lease, StatementReply reply) {
+  if (pending.after) {
+    choice.pool->reach().note_reached(*pending.after);
+  }
+  if (may_write(pending.statement)) {
+    note_own_write(reply);
+  } else if (!begins_transaction(pending.statement)) {
     ++(choice.is_primary ? services_.counters.reads_at_primaries : services_.counters.reads_at_replicas);
   }
-  if (begins_transaction(search.statement)) {
-    transaction_.emplace(search.route, search.access.tenant, choice, std::move(lease));
+  if (begins_transaction(pending.statement)) {
+    transaction_.emplace(pending.route, pending.access.tenant, choice, std::move(lease));
   }
   return reply;
 }
 
-void CallerSession::note_own_position(const StatementReply& reply) {
+void CallerSession::note_own_write(const StatementReply& reply) {
   if (reply.position) {
-    own_position_ = own_position_ ? std::max(*own_position_, *reply.position) : *reply.position;
+    own_write_position_ =
+        own_write_position_ ? std::max(*own_write_position_, *reply.position) : *reply.position;
   }
 }
 
--- a/src/pooling/caller_session_transaction.cpp
+++ b/src/pooling/caller_session_transaction.cpp
@@ -13,11 +13,11 @@
 /// Delay between attempts of a statement that the database refused for want of a free slot.
 constexpr core::Duration kBusyTransactionPause = std::chrono::milliseconds(10);
 /// Fraction of a statement's timeout during which it is retried.
-constexpr int kRetryShareNumerator = 2;
-constexpr int kRetryShareDenominator = 5;
+constexpr int kRetryNumerator = 2;
+constexpr int kRetryDenominator = 5;
 
 /// True if the database had no free slot and did not run the statement; the transaction is unchanged.
-bool may_try_again(const core::Result<StatementReply>& ran) {
+bool may_retry(const core::Result<StatementReply>& ran) {
   return ran && ran.value().failure && ran.value().failure->code == FailureCode::kBusy &&
          ran.value().state == TransactionState::kOpen;
 }
@@ -29,12 +29,12 @@
 awaitable<core::Result<StatementReply>> CallerSession::run_on_lease(const Statement& statement,
                                                                     core::Instant deadline) {
   const core::Instant begun = core::BootClock::now();
-  const core::Instant stop = begun + (deadline - begun) * kRetryShareNumerator / kRetryShareDenominator;
+  const core::Instant retry_deadline = begun + (deadline - begun) * kRetryNumerator / kRetryDenominator;
   while (true) {
     const core::Duration left = deadline - core::BootClock::now();
-    BackendStatement asked{statement, {}};
-    auto ran = co_await transaction_->lease->run(session_, std::move(asked), left);
-    if (!may_try_again(ran) || core::BootClock::now() + kBusyTransactionPause >= stop) {
+    BackendStatement to_run{statement, {}};
+    auto ran = co_await transaction_->lease->run(session_, std::move(to_run), left);
+    if (!may_retry(ran) || core::BootClock::now() + kBusyTransactionPause >= retry_deadline) {
       co_return ran;
     }
     ++services_.counters.retried;
@@ -43,18 +43,18 @@
 }
 
 awaitable<StatementReply> CallerSession::run_in_transaction(Statement statement) {
-  if (auto refusal = refuse_key_in_transaction(statement)) {
+  if (auto refusal = check_caller_key_in_transaction(statement)) {
     co_return std::move(*refusal);
   }
   const core::Duration timeout = std::chrono::milliseconds(transaction_->route.timeout_ms);
   const core::Instant sent = core::BootClock::now();
   auto ran = co_await run_on_lease(statement, sent + timeout);
   if (!ran) {
-    const Transaction& lost_one = *transaction_;
-    const BackendChoice choice = lost_one.choice;
-    const protocol::Route route = lost_one.route;
+    const Transaction& lost_transaction = *transaction_;
+    const BackendChoice choice = lost_transaction.choice;
+    const protocol::Route route = lost_transaction.route;
     StatementReply lost = on_transaction_lost(statement, ran.error());
-    write_transaction_failure(statement, sent, TransactionPlace{choice, route}, TraceEvent::kLost, lost);
+    log_transaction_failure(statement, sent, TransactionPlace{choice, route}, TraceEvent::kLost, lost);
     co_return lost;
   }
   StatementReply reply = std::move(ran.value());
@@ -70,16 +70,16 @@
   }
   if (reply.failure) {
     const bool not_run = surely_not_run(reply.failure->code);
-    write_transaction_failure(statement, sent, TransactionPlace{transaction_->choice, transaction_->route},
-                              not_run ? TraceEvent::kNotRun : TraceEvent::kFailed, reply);
+    log_transaction_failure(statement, sent, TransactionPlace{transaction_->choice, transaction_->route},
+                            not_run ? TraceEvent::kNotRun : TraceEvent::kFailed, reply);
   }
   after_transaction_statement(statement, reply);
   co_return reply;
 }
 
-void CallerSession::write_transaction_failure(const Statement& statement, core::Instant sent,
-                                              const TransactionPlace& place, TraceEvent event,
-                                              const StatementReply& reply) const {
+void CallerSession::log_transaction_failure(const Statement& statement, core::Instant sent,
+                                            const TransactionPlace& place, TraceEvent event,
+                                            const StatementReply& reply) const {
   if (!reply.failure) {
     return;
   }
@@ -97,7 +97,7 @@
   const bool may_be_kept = statement.kind == StatementKind::kCommit && transaction_->wrote &&
                            error.kind != core::ErrorKind::kConnectionRefused;
   if (statement.kind == StatementKind::kCommit || statement.kind == StatementKind::kRollback) {
-    leave_transaction();
+    close_transaction();
     if (statement.kind == StatementKind::kRollback) {
       return succeeded_here(TransactionState::kIdle);
     }
@@ -115,28 +115,28 @@
   }
   const bool committed = statement.kind == StatementKind::kCommit && !reply.failure;
   if (committed && transaction_->wrote) {
-    note_own_position(reply);
+    note_own_write(reply);
   }
   const bool read_only_primary = reply.failure && reply.failure->code == FailureCode::kReadOnly;
   if (read_only_primary && transaction_->choice.is_primary) {
     transaction_->choice.pool->health().on_refused_write();
   }
   if (reply.state == TransactionState::kIdle) {
-    leave_transaction();
+    close_transaction();
   } else if (reply.state == TransactionState::kFailed) {
     transaction_->failed = true;
   }
 }
 
-void CallerSession::leave_transaction() {
+void CallerSession::close_transaction() {
   transaction_.reset();
 }
 
 void CallerSession::end_transaction_when_idle(core::Instant now) {
   const core::Duration limit = services_.routes.transaction_idle_limit();
-  const bool rests = transaction_ && transaction_->lease && !running_ && limit > core::Duration::zero() &&
-                     now - transaction_->rested_since >= limit;
-  if (!rests) {
+  const bool idle_too_long = transaction_ && transaction_->lease && !running_ &&
+                             limit > core::Duration::zero() && now - transaction_->rested_since >= limit;
+  if (!idle_too_long) {
     return;
   }
   ++services_.counters.transactions_ended_idle;
--- a/src/pooling/daemon.cpp
+++ b/src/pooling/daemon.cpp
@@ -17,19 +17,19 @@
 
 /// A daemon reports itself not ready after this long without control's lease and without a primary confirmed
 /// by the databases: other daemons serve callers better.
-constexpr core::Duration kReadyWithoutLease = std::chrono::milliseconds(1500);
+constexpr core::Duration kMaxReadyWithoutLease = std::chrono::milliseconds(1500);
 /// New callers are accepted for this long after the daemon reports itself not ready: long enough for two
 /// missed readiness checks, with a margin.
-constexpr core::Duration kStillAccepting = std::chrono::milliseconds(2200);
+constexpr core::Duration kAcceptAfterNotReady = std::chrono::milliseconds(2200);
 /// Divisor of the stop grace: open transactions may end within this part of it.
-constexpr int kTransactionsShare = 2;
+constexpr int kTransactionGraceDivisor = 2;
 /// Part of the stop grace reserved for telling other daemons and control of the departure.
-constexpr core::Duration kFarewell = std::chrono::milliseconds(600);
-/// Time for refusing statements that other daemons still forward; included in kFarewell.
-constexpr core::Duration kDrainPeers = std::chrono::milliseconds(250);
+constexpr core::Duration kDepartureReserve = std::chrono::milliseconds(600);
+/// Time for refusing statements that other daemons still forward; included in kDepartureReserve.
+constexpr core::Duration kPeerDrainTimeout = std::chrono::milliseconds(250);
 constexpr core::Duration kDrainPoll = std::chrono::milliseconds(50);
 /// A planned stop closes sessions that have been idle for this long.
-constexpr core::Duration kQuietBeforeClose = std::chrono::milliseconds(100);
+constexpr core::Duration kIdleBeforeClose = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -59,7 +59,7 @@
       backends_(io, *adapters_.connector, *agent_, options_.id, options_.zone),
       access_(io, *agent_, options_.id, options_.zone, options_.access),
       services_{io, backends_, routes_, access_, counters_, times_, {}},
-      forwards_(backends_, access_) {}
+      forward_service_(backends_, access_) {}
 
 Daemon::~Daemon() = default;
 
@@ -83,7 +83,7 @@
   if (!server) {
     return server.error();
   }
-  admin_ = std::move(server.value());
+  admin_server_ = std::move(server.value());
   const auto internal = open_internal_port();
   if (!internal) {
     return internal.error();
@@ -98,13 +98,13 @@
   auto peers = wire::Server::start(
       io_, options_.internal.address, options_.internal.port,
       [this](wire::PeerId peer, wire::MessageType type, std::string body) {
-        return forwards_.handle(peer, type, std::move(body));
+        return forward_service_.handle(peer, type, std::move(body));
       },
-      [this](wire::PeerId peer) { forwards_.peer_closed(peer); });
+      [this](wire::PeerId peer) { forward_service_.peer_closed(peer); });
   if (!peers) {
     return peers.error();
   }
-  peers_ = std::move(peers.value());
+  peer_server_ = std::move(peers.value());
   return core::outcome::success();
 }
 
@@ -134,7 +134,7 @@
     for (CallerSession* session : sessions) {
       session->end_transaction_when_idle(now);
     }
-    forwards_.end_idle_transactions(now, routes_.transaction_idle_limit());
+    forward_service_.end_idle_transactions(now, routes_.transaction_idle_limit());
     log_readiness();
     co_await pause_for(io_, kBackendsTick);
   }
@@ -154,10 +154,11 @@
   const tenancy::Verdict verdict = access_.judge(*route, key, core::BootClock::now()).verdict;
   if (verdict != tenancy::Verdict::kAllowed) {
     access_.count(verdict);
-    const bool unknown = verdict == tenancy::Verdict::kUnknownKey;
-    return core::fail(unknown ? core::ErrorKind::kPermissionDenied : core::ErrorKind::kUnavailable,
-                      unknown ? "No tenant holds this key." : "This daemon's key table may be out of date.",
-                      unknown ? "Use a key of a tenant." : "Try again at another daemon.");
+    const bool unknown_key = verdict == tenancy::Verdict::kUnknownKey;
+    return core::fail(
+        unknown_key ? core::ErrorKind::kPermissionDenied : core::ErrorKind::kUnavailable,
+        unknown_key ? "No tenant holds this key." : "This daemon's key table may be out of date.",
+        unknown_key ? "Use a key of a tenant." : "Try again at another daemon.");
   }
   return std::make_unique<CallerSession>(services_, database, key);
 }
@@ -192,8 +193,8 @@
   if (routes_.version() == 0) {
     return "No routes have been received from control yet.";
   }
-  const core::Instant last_certain = std::max(lease_lost_since_, backends_.last_shown_primary());
-  if (!had_lease_ && core::BootClock::now() - last_certain > kReadyWithoutLease) {
+  const core::Instant last_confirmed = std::max(lease_lost_since_, backends_.last_shown_primary());
+  if (!had_lease_ && core::BootClock::now() - last_confirmed > kMaxReadyWithoutLease) {
     return "Control is unreachable, and the databases have not confirmed a primary.";
   }
   if (!access_.keys_are_certain(core::BootClock::now())) {
@@ -204,10 +205,10 @@
 
 void Daemon::log_readiness() {
   const std::string reason = not_ready_reason();
-  if (reason == last_reason_) {
+  if (reason == last_not_ready_reason_) {
     return;
   }
-  last_reason_ = reason;
+  last_not_ready_reason_ = reason;
   const auto log = logging::logger("pooling");
   if (reason.empty()) {
     log->info("event=ready routes_version={}", routes_.version());
@@ -229,35 +230,38 @@
 
 awaitable<void> Daemon::drain(std::function<void()> stopped) {
   const core::Instant begun = core::BootClock::now();
-  const core::Instant give_up = begun + options_.stop_grace - kFarewell;
+  const core::Instant drain_deadline = begun + options_.stop_grace - kDepartureReserve;
   const auto log = logging::logger("pooling");
   stopping_ = true;
-  log->info("event=drain_begun sessions={} forwarded={}", listener_->sessions(), forwards_.in_progress());
-  forwards_.refuse_new();
+  log->info("event=drain_begun sessions={} forwarded={}", listener_->sessions(),
+            forward_service_.in_progress());
+  forward_service_.refuse_new();
   // Control is told only at the end, because a leaving daemon loses its share of the databases' connections.
-  co_await close_quiet_sessions(begun + kStillAccepting);
+  co_await drain_idle_sessions(begun + kAcceptAfterNotReady);
   listener_->stop_accepting();
-  co_await close_quiet_sessions(begun + options_.stop_grace / kTransactionsShare);
+  co_await drain_idle_sessions(begun + options_.stop_grace / kTransactionGraceDivisor);
   listener_->close_after_answers();
-  forwards_.end_transactions();
+  forward_service_.end_transactions();
   for (CallerSession* session : std::set<CallerSession*>(services_.sessions)) {
     session->end_transaction_for_stop();
   }
-  co_await close_quiet_sessions(give_up);
-  log->info("event=drain_ended sessions={} forwarded={}", listener_->sessions(), forwards_.in_progress());
+  co_await drain_idle_sessions(drain_deadline);
+  log->info("event=drain_ended sessions={} forwarded={}", listener_->sessions(),
+            forward_service_.in_progress());
   access_.stop();
-  co_await peers_->drain(kDrainPeers);
+  co_await peer_server_->drain(kPeerDrainTimeout);
   agent_->set_leaving();
   backends_.close();
-  co_await agent_->depart(kFarewell / 2);
+  co_await agent_->depart(kDepartureReserve / 2);
   stopped();
 }
 
 /// Closes idle sessions until `until`, or until no session is left and no callers are accepted.
-awaitable<void> Daemon::close_quiet_sessions(core::Instant until) {
+awaitable<void> Daemon::drain_idle_sessions(core::Instant until) {
   while (core::BootClock::now() < until) {
-    listener_->close_idle_sessions(kQuietBeforeClose);
-    const bool done = services_.sessions.empty() && !listener_->accepting() && forwards_.in_progress() == 0;
+    listener_->close_idle_sessions(kIdleBeforeClose);
+    const bool done =
+        services_.sessions.empty() && !listener_->accepting() && forward_service_.in_progress() == 0;
     if (done) {
       co_return;
     }
--- a/src/pooling/daemon.hpp
+++ b/src/pooling/daemon.hpp
@@ -51,7 +51,7 @@
   void apply(const protocol::Configuration& configuration);
   boost::asio::awaitable<void> tick();
   boost::asio::awaitable<void> drain(std::function<void()> stopped);
-  boost::asio::awaitable<void> close_quiet_sessions(core::Instant until);
+  boost::asio::awaitable<void> drain_idle_sessions(core::Instant until);
   core::Result<std::unique_ptr<CallerSession>> open_session(const std::string& database,
                                                             const protocol::KeyDigest& key);
   void serve_admin(const http::Request& request, const http::Responder& respond);
@@ -69,14 +69,14 @@
   PoolingCounters counters_;
   StatementTimes times_;
   SessionServices services_;
-  ForwardService forwards_;
+  ForwardService forward_service_;
   std::unique_ptr<CallerListener> listener_;
-  std::unique_ptr<wire::Server> peers_;  ///< Serves requests of other daemons.
-  std::unique_ptr<http::Server> admin_;
+  std::unique_ptr<wire::Server> peer_server_;  ///< Serves requests of other daemons.
+  std::unique_ptr<http::Server> admin_server_;
   core::Instant lease_lost_since_{};
   bool had_lease_ = false;
   bool stopping_ = false;
-  std::string last_reason_;
+  std::string last_not_ready_reason_;
 };
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A random start for transaction identifiers, with room to count up; never 0, which means no transaction.
-ForwardedTransaction first_transaction() {
+ForwardedTransaction random_first_transaction() {
   std::random_device random;
   const std::uint64_t high = random();
   const std::uint64_t low = random();
@@ -25,20 +25,20 @@
 constexpr core::Duration kIdleMargin = std::chrono::milliseconds(500);
 
 /// The error for a statement that was not run.
-core::Error not_run(std::string why) {
+core::Error not_run_error(std::string why) {
   return core::Error{core::ErrorKind::kUnavailable, std::move(why), "Use another owner, or try again.", 100};
 }
 
 /// Keeps the distinction between an unreachable database and a lack of capacity at this daemon.
-core::Error not_run_here(const core::Error& error) {
-  core::Error told = not_run(error.message);
+core::Error not_run_error_from(const core::Error& error) {
+  core::Error reported = not_run_error(error.message);
   if (error.kind == core::ErrorKind::kNoCapacity) {
-    told.kind = core::ErrorKind::kNoCapacity;
+    reported.kind = core::ErrorKind::kNoCapacity;
   }
-  return told;
+  return reported;
 }
 
-core::Error takes_no_new_work() {
+core::Error stopping_error() {
   return core::Error{core::ErrorKind::kLeaving, "This daemon is stopping.", "Use another owner.", 0};
 }
 
@@ -46,23 +46,23 @@
   return std::chrono::milliseconds(millis);
 }
 
-/// `asked` must outlive the result. A separate function because GCC 12 destroys a temporary of such an
+/// `forwarded` must outlive the result. A separate function because GCC 12 destroys a temporary of such an
 /// initializer twice in a coroutine.
-ConnectionRequest connection_request(const ForwardedStatement& asked, core::Instant begun) {
+ConnectionRequest connection_request(const ForwardedStatement& forwarded, core::Instant begun) {
   ConnectionRequest request;
-  request.priority = asked.priority;
-  request.deadline = begun + duration_of(asked.wait_ms);
-  request.session = &asked.session;
-  request.goal = begun + duration_of(asked.goal_ms);
-  request.tenant = asked.tenant;
-  request.since = begun - duration_of(asked.waited_ms);
+  request.priority = forwarded.priority;
+  request.deadline = begun + duration_of(forwarded.wait_ms);
+  request.session = &forwarded.session;
+  request.goal = begun + duration_of(forwarded.goal_ms);
+  request.tenant = forwarded.tenant;
+  request.since = begun - duration_of(forwarded.waited_ms);
   return request;
 }
 
 }  // namespace
 
 ForwardService::ForwardService(Backends& backends, CallerAccess& access)
-    : backends_(backends), access_(access), last_transaction_(first_transaction()) {}
+    : backends_(backends), access_(access), last_transaction_(random_first_transaction()) {}
 
 awaitable<core::Result<std::string>> ForwardService::handle(wire::PeerId peer, wire::MessageType type,
                                                             std::string body) {
@@ -72,7 +72,7 @@
   if (type == wire::MessageType::kTransactionEnd) {
     const auto message = wire::unpack<ForwardedEnd>(body);
     if (message) {
-      end(peer, message.value().transaction);
+      end_transaction(peer, message.value().transaction);
     }
     co_return std::string();
   }
@@ -108,59 +108,61 @@
     co_return core::fail(core::ErrorKind::kInvalidArgument, "This daemon does not support this message type.",
                          "Run the same version of pipitpond on every machine.");
   }
-  auto asked = wire::unpack<ForwardedStatement>(body);
-  if (!asked) {
-    co_return asked.error();
+  auto forwarded = wire::unpack<ForwardedStatement>(body);
+  if (!forwarded) {
+    co_return forwarded.error();
   }
   ++running_;
   peers_.insert(peer);
-  auto answer = co_await run(peer, std::move(asked.value()));
+  auto answer = co_await run(peer, std::move(forwarded.value()));
   --running_;
   co_return answer;
 }
 
-awaitable<core::Result<std::string>> ForwardService::run(wire::PeerId peer, ForwardedStatement asked) {
-  if (asked.transaction == 0) {
-    co_return co_await run_first(peer, std::move(asked));
+awaitable<core::Result<std::string>> ForwardService::run(wire::PeerId peer, ForwardedStatement forwarded) {
+  if (forwarded.transaction == 0) {
+    co_return co_await run_first(peer, std::move(forwarded));
   }
-  const auto found = transactions_.find(asked.transaction);
+  const auto found = transactions_.find(forwarded.transaction);
   const bool known = found != transactions_.end() && found->second->peer == peer && !found->second->running;
   if (!known) {
-    co_return not_run("The transaction is no longer open at this daemon.");
+    co_return not_run_error("The transaction is no longer open at this daemon.");
   }
-  HeldPointer held = found->second;
-  co_return co_await run_in_transaction(std::move(held), std::move(asked));
+  HeldTransactionPointer held = found->second;
+  co_return co_await run_in_transaction(std::move(held), std::move(forwarded));
 }
 
-awaitable<core::Result<std::string>> ForwardService::run_first(wire::PeerId peer, ForwardedStatement asked) {
-  if (refuses_) {
-    co_return takes_no_new_work();
+awaitable<core::Result<std::string>> ForwardService::run_first(wire::PeerId peer,
+                                                               ForwardedStatement forwarded) {
+  if (refusing_new_) {
+    co_return stopping_error();
   }
   const core::Instant begun = core::BootClock::now();
-  const std::shared_ptr<BackendPool> pool = backends_.pool(asked.database);
+  const std::shared_ptr<BackendPool> pool = backends_.pool(forwarded.database);
   if (!pool) {
-    co_return not_run("This daemon does not know the database.");
+    co_return not_run_error("This daemon does not know the database.");
   }
-  const ConnectionRequest request = connection_request(asked, begun);
+  const ConnectionRequest request = connection_request(forwarded, begun);
   auto lease = co_await BackendPool::acquire(pool, request);
   if (!lease) {
-    co_return not_run_here(lease.error());
+    co_return not_run_error_from(lease.error());
   }
-  auto held = std::make_shared<Held>();
+  auto held = std::make_shared<HeldTransaction>();
   held->peer = peer;
   held->lease.reset(new ConnectionLease(std::move(lease.value())));
-  held->choice = backends_.as_chosen(asked.database);
-  co_return co_await run_in_transaction(std::move(held), std::move(asked));
+  held->choice = backends_.as_chosen(forwarded.database);
+  co_return co_await run_in_transaction(std::move(held), std::move(forwarded));
 }
 
 /// Also runs statements outside transactions, as they may open one.
-awaitable<core::Result<std::string>> ForwardService::run_in_transaction(HeldPointer held,
-                                                                        ForwardedStatement asked) {
+awaitable<core::Result<std::string>> ForwardService::run_in_transaction(HeldTransactionPointer held,
+                                                                        ForwardedStatement forwarded) {
   ++served_;
   held->running = true;
-  BackendStatement statement{std::move(asked.statement), asked.after};
+  BackendStatement statement{std::move(forwarded.statement), forwarded.after};
   const core::Instant sent = core::BootClock::now();
-  auto ran = co_await held->lease->run(asked.session, std::move(statement), duration_of(asked.timeout_ms));
+  auto ran =
+      co_await held->lease->run(forwarded.session, std::move(statement), duration_of(forwarded.timeout_ms));
   held->running = false;
   held->rested_since = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
@@ -170,49 +172,49 @@
   }
   const bool open = ran && ran.value().state != TransactionState::kIdle;
   // If the peer has disconnected, no one would end the transaction.
-  const bool wanted = !held->given_up && peers_.contains(held->peer);
-  if (!open || !wanted) {
-    transactions_.erase(asked.transaction);
+  const bool still_wanted = !held->abandoned && peers_.contains(held->peer);
+  if (!open || !still_wanted) {
+    transactions_.erase(forwarded.transaction);
   }
   if (!ran && ran.error().kind == core::ErrorKind::kConnectionRefused) {
-    co_return not_run(ran.error().message);
+    co_return not_run_error(ran.error().message);
   }
   if (!ran) {
     co_return ran.error();
   }
   ForwardedAnswer answer;
-  if (open && wanted) {
-    answer.transaction = asked.transaction != 0 ? asked.transaction : ++last_transaction_;
+  if (open && still_wanted) {
+    answer.transaction = forwarded.transaction != 0 ? forwarded.transaction : ++last_transaction_;
     transactions_[answer.transaction] = held;
   }
   answer.reply = std::move(ran.value());
   co_return wire::pack(answer);
 }
 
-awaitable<core::Result<std::string>> ForwardService::ask_status(ForwardedStatusRequest asked) {
-  const std::shared_ptr<BackendPool> pool = backends_.pool(asked.database);
+awaitable<core::Result<std::string>> ForwardService::ask_status(ForwardedStatusRequest request) {
+  const std::shared_ptr<BackendPool> pool = backends_.pool(request.database);
   if (!pool) {
-    co_return not_run("This daemon does not know the database.");
+    co_return not_run_error("This daemon does not know the database.");
   }
-  const auto status = co_await BackendPool::ask_status(pool, duration_of(asked.timeout_ms));
+  const auto status = co_await BackendPool::ask_status(pool, duration_of(request.timeout_ms));
   if (!status) {
     co_return status.error();
   }
   co_return wire::pack(status.value());
 }
 
-awaitable<core::Result<std::string>> ForwardService::show_primary(ShownPrimaryRequest asked) {
-  const auto shown = co_await backends_.show_primary(std::move(asked));
+awaitable<core::Result<std::string>> ForwardService::show_primary(ShownPrimaryRequest request) {
+  const auto shown = co_await backends_.show_primary(std::move(request));
   if (!shown) {
     co_return shown.error();
   }
   co_return wire::pack(shown.value());
 }
 
-void ForwardService::end(wire::PeerId peer, ForwardedTransaction transaction) {
+void ForwardService::end_transaction(wire::PeerId peer, ForwardedTransaction transaction) {
   const auto found = transactions_.find(transaction);
   if (found != transactions_.end() && found->second->peer == peer) {
-    found->second->given_up = true;
+    found->second->abandoned = true;
     transactions_.erase(found);
   }
 }
--- a/src/pooling/forward_service.hpp
+++ b/src/pooling/forward_service.hpp
@@ -30,7 +30,7 @@
   void peer_closed(wire::PeerId peer);
 
   /// From now on refuses new statements as not run. Open transactions continue.
-  void refuse_new() { refuses_ = true; }
+  void refuse_new() { refusing_new_ = true; }
   /// Aborts the transactions in which no statement is running, because the daemon stops.
   void end_transactions();
   /// Aborts transactions that have been idle for somewhat longer than `limit`. The daemon that forwarded them
@@ -44,32 +44,33 @@
 
  private:
   /// A transaction held open for another daemon.
-  struct Held {
+  struct HeldTransaction {
     wire::PeerId peer = 0;
     std::unique_ptr<StatementLease> lease;
     std::optional<BackendChoice> choice;  ///< The database, as known when the lease was granted.
     bool running = false;
-    bool given_up = false;  ///< Its daemon has ended it while a statement runs.
+    bool abandoned = false;  ///< Its daemon has ended it while a statement runs.
     core::Instant rested_since{};
   };
-  using HeldPointer = std::shared_ptr<Held>;
+  using HeldTransactionPointer = std::shared_ptr<HeldTransaction>;
 
-  boost::asio::awaitable<core::Result<std::string>> run(wire::PeerId peer, ForwardedStatement asked);
-  boost::asio::awaitable<core::Result<std::string>> run_first(wire::PeerId peer, ForwardedStatement asked);
-  boost::asio::awaitable<core::Result<std::string>> run_in_transaction(HeldPointer held,
-                                                                       ForwardedStatement asked);
-  boost::asio::awaitable<core::Result<std::string>> ask_status(ForwardedStatusRequest asked);
-  boost::asio::awaitable<core::Result<std::string>> show_primary(ShownPrimaryRequest asked);
-  void end(wire::PeerId peer, ForwardedTransaction transaction);
+  boost::asio::awaitable<core::Result<std::string>> run(wire::PeerId peer, ForwardedStatement forwarded);
+  boost::asio::awaitable<core::Result<std::string>> run_first(wire::PeerId peer,
+                                                              ForwardedStatement forwarded);
+  boost::asio::awaitable<core::Result<std::string>> run_in_transaction(HeldTransactionPointer held,
+                                                                       ForwardedStatement forwarded);
+  boost::asio::awaitable<core::Result<std::string>> ask_status(ForwardedStatusRequest request);
+  boost::asio::awaitable<core::Result<std::string>> show_primary(ShownPrimaryRequest request);
+  void end_transaction(wire::PeerId peer, ForwardedTransaction transaction);
 
   Backends& backends_;
   CallerAccess& access_;
-  std::map<ForwardedTransaction, HeldPointer> transactions_;
+  std::map<ForwardedTransaction, HeldTransactionPointer> transactions_;
   std::set<wire::PeerId> peers_;  ///< Connected peers that have sent a statement.
   ForwardedTransaction last_transaction_;
   std::size_t running_ = 0;
   std::uint64_t served_ = 0;
-  bool refuses_ = false;
+  bool refusing_new_ = false;
 };
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/metrics.cpp
+++ b/src/pooling/metrics.cpp
@@ -13,10 +13,11 @@
   }
 }
 
-void StatementTimes::observe(protocol::RouteKind kind, bool succeeded, core::Duration taken) {
-  const auto number = static_cast<std::size_t>(kind);
-  if (number < kKinds) {
-    histograms_.at(2 * number + (succeeded ? 1 : 0)).observe(std::chrono::duration<double>(taken).count());
+void StatementTimes::observe(protocol::RouteKind kind, bool succeeded, core::Duration elapsed) {
+  const auto kind_index = static_cast<std::size_t>(kind);
+  if (kind_index < kKinds) {
+    histograms_.at(2 * kind_index + (succeeded ? 1 : 0))
+        .observe(std::chrono::duration<double>(elapsed).count());
   }
 }
 
--- a/src/pooling/metrics.hpp
+++ b/src/pooling/metrics.hpp
@@ -30,7 +30,7 @@
  public:
   StatementTimes();
 
-  void observe(protocol::RouteKind kind, bool succeeded, core::Duration taken);
+  void observe(protocol::RouteKind kind, bool succeeded, core::Duration elapsed);
   /// The histograms in the Prometheus text format.
   [[nodiscard]] std::string text() const { return registry_.text(); }
 
--- a/src/pooling/metrics_page.cpp
+++ b/src/pooling/metrics_page.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 template <typename Number>
-double number(Number value) {
+double as_double(Number value) {
   return static_cast<double>(value);
 }
 
 void add_statements(metrics::Registry& registry, const PoolingCounters& counters) {
   const auto counter = [&registry](const std::string& name, const std::string& help, std::uint64_t value) {
-    registry.counter("pipitpond_pooling_" + name, help).increment(number(value));
+    registry.counter("pipitpond_pooling_" + name, help).increment(as_double(value));
   };
   counter("statements_total", "Statements of callers.", counters.statements);
   counter("succeeded_total", "Statements answered with success.", counters.succeeded);
@@ -24,7 +24,7 @@
   const auto reads = [&registry](const std::string& role, std::uint64_t count) {
     registry
         .counter("pipitpond_pooling_reads_total", "Single reads by who served them.", {{"served_by", role}})
-        .increment(number(count));
+        .increment(as_double(count));
   };
   reads("replica", counters.reads_at_replicas);
   reads("primary", counters.reads_at_primaries);
@@ -32,7 +32,7 @@
     registry
         .counter("pipitpond_pooling_failures_total", "Statements answered with a failure, by its code.",
                  {{"code", to_string(static_cast<FailureCode>(code))}})
-        .increment(number(counters.failures.at(code)));
+        .increment(as_double(counters.failures.at(code)));
   }
 }
 
@@ -42,17 +42,17 @@
   const auto gauge = [&](const std::string& name, const std::string& help, double value) {
     registry.gauge("pipitpond_pooling_backend_" + name, help, labels).set(value);
   };
-  gauge("connections", "Connections held.", number(pool.held()));
+  gauge("connections", "Connections held.", as_double(pool.held()));
   gauge("connections_in_use", "Connections that run a statement or belong to a transaction.",
-        number(pool.in_use()));
-  gauge("budget", "Connections that may be held.", number(pool.share().most));
+        as_double(pool.in_use()));
+  gauge("budget", "Connections that may be held.", as_double(pool.share().most));
   gauge("concurrency_limit", "Statements outside transactions that may run at once.",
-        number(pool.concurrency().limit()));
-  gauge("kept", "Connections that may stay open while idle.", number(pool.share().kept));
-  gauge("waiting", "Statements that wait for a connection.", number(pool.waiting()));
+        as_double(pool.concurrency().limit()));
+  gauge("kept", "Connections that may stay open while idle.", as_double(pool.share().kept));
+  gauge("waiting", "Statements that wait for a connection.", as_double(pool.waiting()));
   gauge("usable", "1 while the database is taken to be reachable.", pool.health().usable() ? 1 : 0);
   const auto counter = [&](const std::string& name, const std::string& help, std::uint64_t value) {
-    registry.counter("pipitpond_pooling_backend_" + name, help, labels).increment(number(value));
+    registry.counter("pipitpond_pooling_backend_" + name, help, labels).increment(as_double(value));
   };
   counter("opened_total", "Connections opened.", pool.counters().opened);
   counter("opened_for_want_total", "Openings begun for statements that waited.",
@@ -78,7 +78,7 @@
         .counter("pipitpond_pooling_forwards_total",
                  "Statements passed on to owners of connections, and of these, those that came to nothing.",
                  {{"outcome", outcome}})
-        .increment(number(count));
+        .increment(as_double(count));
   };
   counter("sent", counters.sent);
   counter("not_run", counters.not_run);
@@ -86,24 +86,24 @@
   registry
       .counter("pipitpond_pooling_positions_asked_total",
                "Times that an owner was asked for a primary's position, for reads at replicas.")
-      .increment(number(counters.positions_asked));
+      .increment(as_double(counters.positions_asked));
   registry.counter("pipitpond_pooling_positions_told_total", "Those of them that brought one.")
-      .increment(number(counters.positions_told));
+      .increment(as_double(counters.positions_told));
 }
 
 void add_rounds(metrics::Registry& registry, const RoundCounters& counters) {
   registry
       .counter("pipitpond_pooling_primary_rounds_total",
                "Rounds in which databases were asked who the primary is, for want of control's lease.")
-      .increment(number(counters.begun));
+      .increment(as_double(counters.begun));
   registry
       .counter("pipitpond_pooling_primary_rounds_shown_total", "Those of them that have shown the primary.")
-      .increment(number(counters.shown));
+      .increment(as_double(counters.shown));
 }
 
 void add_fetches(metrics::Registry& registry, const agent::FetchCounters& fetches) {
   const auto counter = [&registry](const std::string& name, const std::string& help, std::uint64_t value) {
-    registry.counter("pipitpond_pooling_configuration_" + name, help).increment(number(value));
+    registry.counter("pipitpond_pooling_configuration_" + name, help).increment(as_double(value));
   };
   counter("fetches_total", "Calls to control for the configuration.", fetches.begun);
   counter("fetches_failed_total", "Of those, the ones that brought nothing in time.", fetches.failed);
@@ -116,7 +116,7 @@
     registry
         .counter("pipitpond_access_refused_total", "Statements and sessions that were not let in, by reason.",
                  {{"reason", reason}})
-        .increment(number(count));
+        .increment(as_double(count));
   };
   const AccessCounters& counters = access.counters();
   refused("unknown_key", counters.unknown_key);
@@ -124,17 +124,17 @@
   refused("over_quota", counters.over_quota);
   refused("quota_not_told", counters.quota_not_told);
   registry.counter("pipitpond_access_quota_asked_total", "Questions to other daemons for an operation.")
-      .increment(number(access.quota_counters().asked));
+      .increment(as_double(access.quota_counters().asked));
   registry.counter("pipitpond_access_quota_unanswered_total", "Those of them that got no answer in time.")
-      .increment(number(access.quota_counters().unanswered));
+      .increment(as_double(access.quota_counters().unanswered));
   registry
       .counter("pipitpond_access_quota_given_back_total",
                "Operations that surely did not run and that this daemon told to other daemons.")
-      .increment(number(access.quota_counters().given_back));
+      .increment(as_double(access.quota_counters().given_back));
   registry
       .counter("pipitpond_access_home_given_back_total",
                "Operations that came back in time to this daemon as a tenant's home.")
-      .increment(number(access.home().given_back()));
+      .increment(as_double(access.home().given_back()));
   registry
       .gauge("pipitpond_access_proof_age_seconds",
              "Since the moment up to which the configuration is known to be complete.")
@@ -164,15 +164,15 @@
     registry.gauge("pipitpond_pooling_" + name, help).set(value);
   };
   registry.counter("pipitpond_pooling_log_lines_left_out_total", "Lines of the log that were not written.")
-      .increment(number(logging::lines_left_out()));
+      .increment(as_double(logging::lines_left_out()));
   add_fetches(registry, agent.fetch_counters());
-  gauge("sessions", "Callers' sessions that are open.", number(sessions));
+  gauge("sessions", "Callers' sessions that are open.", as_double(sessions));
   gauge("ready", "1 while the daemon calls itself ready.", ready ? 1 : 0);
   gauge("lease_valid", "1 while control's lease is valid.",
         agent.lease_valid(core::BootClock::now()) ? 1 : 0);
-  gauge("revision", "Revision of the configuration in force.", number(agent.configuration().revision));
+  gauge("revision", "Revision of the configuration in force.", as_double(agent.configuration().revision));
   gauge("routes_version", "Version of the route table in force.",
-        number(agent.configuration().routes.version));
+        as_double(agent.configuration().routes.version));
   return registry.text();
 }
 
--- a/src/pooling/quota_asker.cpp
+++ b/src/pooling/quota_asker.cpp
@@ -18,9 +18,9 @@
 namespace {
 
 // A separate function because GCC 12 destroys a temporary of such an initializer twice in a coroutine.
-std::string request_body(const QuotaAsked& asked, std::vector<GivenBackOperation> given_back,
+std::string request_body(const QuotaAsked& scope, std::vector<GivenBackOperation> given_back,
                          std::uint32_t operations) {
-  return wire::pack(QuotaRequest{asked.tenant, std::move(given_back), operations, asked.priority});
+  return wire::pack(QuotaRequest{scope.tenant, std::move(given_back), operations, scope.priority});
 }
 
 /// The answer for an operation granted by `home`.
@@ -55,115 +55,117 @@
   }
 }
 
-awaitable<QuotaAnswer> QuotaAsker::take(std::vector<core::DaemonId> homes, QuotaAsked asked,
-                                        const TakeOwn& take_own) {
+awaitable<QuotaAnswer> QuotaAsker::take(std::vector<core::DaemonId> homes, QuotaAsked scope,
+                                        const TakeOwn& take_from_local_home) {
   QuotaAnswer answer;
-  answer.retry_in = kQuotaComeBack;
+  answer.retry_in = kNoHomeRetryAfter;
   const auto note_empty = [&answer](core::Duration retry_in) {
     const bool first = answer.outcome == QuotaOutcome::kNotTold;
     answer.retry_in = first ? retry_in : std::min(answer.retry_in, retry_in);
     answer.outcome = QuotaOutcome::kOverQuota;
   };
   for (const core::DaemonId& home : homes) {
-    CallersShare share;
+    CallerResult result;
     if (home == self_) {
-      share = take_own_share(asked, take_own);
+      result = take_from_self(scope, take_from_local_home);
     } else if (const auto found = links_.find(home); found != links_.end()) {
       const LinkPointer link = found->second;
-      share = co_await ask_one(link, asked);
+      result = co_await ask_home(link, scope);
     }
-    if (share.granted) {
-      co_return granted_by(home, asked.tenant, *share.granted);
+    if (result.granted) {
+      co_return granted_by(home, scope.tenant, *result.granted);
     }
-    if (share.retry_in) {
-      note_empty(*share.retry_in);
+    if (result.retry_in) {
+      note_empty(*result.retry_in);
     }
   }
   co_return answer;
 }
 
-QuotaAsker::CallersShare QuotaAsker::take_own_share(const QuotaAsked& asked, const TakeOwn& take_own) {
+QuotaAsker::CallerResult QuotaAsker::take_from_self(const QuotaAsked& scope,
+                                                    const TakeOwn& take_from_local_home) {
   const core::Instant now = core::BootClock::now();
-  const auto empty = own_empty_until_.find(asked);
-  if (empty != own_empty_until_.end() && now < empty->second) {
-    return CallersShare{{}, empty->second - now};
+  const auto local_empty = local_empty_until_.find(scope);
+  if (local_empty != local_empty_until_.end() && now < local_empty->second) {
+    return CallerResult{{}, local_empty->second - now};
   }
-  const tenancy::QuotaGrant grant = take_own(asked);
+  const tenancy::QuotaGrant grant = take_from_local_home(scope);
   if (grant.granted > 0) {
-    return CallersShare{grant.first, {}};
+    return CallerResult{grant.first, {}};
   }
   if (!grant.is_home) {
-    return CallersShare{};
+    return CallerResult{};
   }
-  own_empty_until_[asked] = now + grant.retry_in;
-  return CallersShare{{}, grant.retry_in};
+  local_empty_until_[scope] = now + grant.retry_in;
+  return CallerResult{{}, grant.retry_in};
 }
 
-awaitable<QuotaAsker::CallersShare> QuotaAsker::ask_one(LinkPointer link, QuotaAsked asked) {
-  TenantAtHome& known = link->tenants[asked];
+awaitable<QuotaAsker::CallerResult> QuotaAsker::ask_home(LinkPointer link, QuotaAsked scope) {
+  HomeState& state = link->tenants[scope];
   const core::Instant now = core::BootClock::now();
-  if (now < link->avoided_until || now < known.no_home_until) {
-    co_return CallersShare{};
+  if (now < link->avoided_until || now < state.not_home_until) {
+    co_return CallerResult{};
   }
-  if (now < known.empty_until) {
-    co_return CallersShare{{}, known.empty_until - now};
+  if (now < state.empty_until) {
+    co_return CallerResult{{}, state.empty_until - now};
   }
-  if (known.asking) {
-    if (!known.gathering) {
-      known.gathering = std::make_shared<Question>(io_);
+  if (state.request_in_flight) {
+    if (!state.next_request) {
+      state.next_request = std::make_shared<SharedRequest>(io_);
     }
-    const QuestionPointer question = known.gathering;
-    const std::uint32_t index = question->operations++;
+    const SharedRequestPointer request = state.next_request;
+    const std::uint32_t caller_index = request->operations++;
     boost::system::error_code cancelled;
-    co_await question->answered.async_wait(
-        boost::asio::redirect_error(boost::asio::use_awaitable, cancelled));
-    co_return share_of(*question, index);
-  }
-  const auto question = std::make_shared<Question>(io_);
-  question->operations = 1;
-  if (now < known.short_until) {
-    known.asking = true;
-    co_await ask_for_all(link, asked, question);
+    co_await request->answered.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, cancelled));
+    co_return result_for_caller(*request, caller_index);
+  }
+  const auto request = std::make_shared<SharedRequest>(io_);
+  request->operations = 1;
+  if (now < state.share_until) {
+    state.request_in_flight = true;
+    co_await run_shared_request(link, scope, request);
   } else {
-    question->reply = co_await ask(link, asked, question->operations);
-    note(*link, asked, *question->reply);
+    request->reply = co_await ask(link, scope, request->operations);
+    record_reply(*link, scope, *request->reply);
   }
-  co_return share_of(*question, 0);
+  co_return result_for_caller(*request, 0);
 }
 
-QuotaAsker::CallersShare QuotaAsker::share_of(const Question& question, std::uint32_t index) {
-  if (!question.reply || !*question.reply || !question.reply->value().is_home) {
-    return CallersShare{};
+QuotaAsker::CallerResult QuotaAsker::result_for_caller(const SharedRequest& request,
+                                                       std::uint32_t caller_index) {
+  if (!request.reply || !*request.reply || !request.reply->value().is_home) {
+    return CallerResult{};
   }
-  const QuotaReply& reply = question.reply->value();
+  const QuotaReply& reply = request.reply->value();
   // A daemon of an older version grants single operations and leaves `operations` at 0.
   const std::uint32_t granted = reply.granted ? std::max(reply.operations, 1U) : 0;
-  if (index < granted) {
-    return CallersShare{reply.number == 0 ? 0 : reply.number + index, {}};
+  if (caller_index < granted) {
+    return CallerResult{reply.number == 0 ? 0 : reply.number + caller_index, {}};
   }
-  return CallersShare{{}, std::chrono::milliseconds(reply.retry_in_ms)};
+  return CallerResult{{}, std::chrono::milliseconds(reply.retry_in_ms)};
 }
 
-awaitable<void> QuotaAsker::ask_for_all(LinkPointer link, QuotaAsked asked, QuestionPointer question) {
-  TenantAtHome& known = link->tenants[asked];
-  question->reply = co_await ask(link, asked, question->operations);
-  note(*link, asked, *question->reply);
-  question->answered.cancel();
-  const QuestionPointer next = std::exchange(known.gathering, nullptr);
+awaitable<void> QuotaAsker::run_shared_request(LinkPointer link, QuotaAsked scope,
+                                               SharedRequestPointer request) {
+  HomeState& state = link->tenants[scope];
+  request->reply = co_await ask(link, scope, request->operations);
+  record_reply(*link, scope, *request->reply);
+  request->answered.cancel();
+  const SharedRequestPointer next = std::exchange(state.next_request, nullptr);
   if (!next) {
-    known.asking = false;
+    state.request_in_flight = false;
     co_return;
   }
   const core::Instant now = core::BootClock::now();
-  const bool of_use = *question->reply && question->reply->value().is_home;
-  if (of_use && now >= known.empty_until) {
+  const bool usable = *request->reply && request->reply->value().is_home;
+  if (usable && now >= state.empty_until) {
     // Spawned separately, because the caller of this coroutine already has its answer.
-    boost::asio::co_spawn(io_, ask_for_all(link, asked, next), boost::asio::detached);
+    boost::asio::co_spawn(io_, run_shared_request(link, scope, next), boost::asio::detached);
     co_return;
   }
-  known.asking = false;
-  next->reply = question->reply;
-  if (of_use) {
+  state.request_in_flight = false;
+  next->reply = request->reply;
+  if (usable) {
     QuotaReply& refusal = next->reply->value();
     refusal.granted = false;
     refusal.operations = 0;
@@ -171,21 +173,21 @@
   next->answered.cancel();
 }
 
-void QuotaAsker::note(Link& link, const QuotaAsked& asked, const core::Result<QuotaReply>& reply) {
+void QuotaAsker::record_reply(Link& link, const QuotaAsked& scope, const core::Result<QuotaReply>& reply) {
   const core::Instant now = core::BootClock::now();
-  TenantAtHome& known = link.tenants[asked];
+  HomeState& state = link.tenants[scope];
   if (!reply) {
-    link.avoided_until = now + kAvoidSilentHome;
+    link.avoided_until = now + kHomeBackoff;
     return;
   }
   if (!reply.value().is_home) {
-    known.no_home_until = now + kAvoidSilentHome;
+    state.not_home_until = now + kHomeBackoff;
     return;
   }
   const core::Duration retry_in = std::chrono::milliseconds(reply.value().retry_in_ms);
   if (retry_in > core::Duration::zero()) {
-    known.empty_until = now + retry_in;
-    known.short_until = known.empty_until + kAskTogether;
+    state.empty_until = now + retry_in;
+    state.share_until = state.empty_until + kShareRequestsAfterShortage;
   }
 }
 
@@ -196,22 +198,22 @@
   }
   ++counters_.given_back;
   Link& link = *found->second;
-  for (auto& [asked, known] : link.tenants) {
-    if (asked.tenant == receipt.operation.tenant) {
-      known.empty_until = {};  // The returned operation is available again.
+  for (auto& [scope, state] : link.tenants) {
+    if (scope.tenant == receipt.operation.tenant) {
+      state.empty_until = {};  // The returned operation is available again.
     }
   }
   link.given_back.push_back(std::move(receipt.operation));
 }
 
-awaitable<core::Result<QuotaReply>> QuotaAsker::ask(LinkPointer link, QuotaAsked asked,
+awaitable<core::Result<QuotaReply>> QuotaAsker::ask(LinkPointer link, QuotaAsked scope,
                                                     std::uint32_t operations) {
   if (!link->channel) {
     link->channel = wire::Channel::create(io_, link->endpoint);
   }
   ++counters_.asked;
   const std::shared_ptr<wire::Channel> channel = link->channel;
-  std::string body = request_body(asked, std::exchange(link->given_back, {}), operations);
+  std::string body = request_body(scope, std::exchange(link->given_back, {}), operations);
   const auto answer = co_await channel->call(wire::MessageType::kQuota, std::move(body), kQuotaTimeout);
   if (!answer) {
     ++counters_.unanswered;
--- a/src/pooling/quota_asker.hpp
+++ b/src/pooling/quota_asker.hpp
@@ -72,8 +72,8 @@
   /// Updates the links to the daemons that the configuration lists.
   void apply(const protocol::Configuration& configuration);
   /// Takes one operation. `homes` are asked in the given order.
-  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaAsked asked,
-                                           const TakeOwn& take_own);
+  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaAsked scope,
+                                           const TakeOwn& take_from_local_home);
 
   /// Returns an operation that another daemon granted and that definitely did not run. It travels with the
   /// next request to that daemon; if none is sent in time, the operation stays charged to the tenant.
@@ -83,23 +83,23 @@
 
  private:
   /// One request to a home on behalf of all callers that wait for its reply.
-  struct Question {
-    explicit Question(boost::asio::io_context& io)
+  struct SharedRequest {
+    explicit SharedRequest(boost::asio::io_context& io)
         : answered(io, boost::asio::steady_timer::time_point::max()) {}
 
     std::uint32_t operations = 0;  ///< One for each caller.
     std::optional<core::Result<QuotaReply>> reply;
     boost::asio::steady_timer answered;  ///< Cancelled when the reply has arrived.
   };
-  using QuestionPointer = std::shared_ptr<Question>;
+  using SharedRequestPointer = std::shared_ptr<SharedRequest>;
 
   /// State of one tenant and priority at one home.
-  struct TenantAtHome {
-    core::Instant empty_until{};    ///< The home has no operations left until then.
-    core::Instant no_home_until{};  ///< The daemon is not asked: it is no home of the tenant.
-    core::Instant short_until{};    ///< Callers share requests until then; see kAskTogether.
-    bool asking = false;            ///< A shared request is in flight.
-    QuestionPointer gathering;      ///< The next shared request; null: no caller waits.
+  struct HomeState {
+    core::Instant empty_until{};     ///< The home has no operations left until then.
+    core::Instant not_home_until{};  ///< The daemon is not asked: it is no home of the tenant.
+    core::Instant share_until{};     ///< Callers share requests until then; see kShareRequestsAfterShortage.
+    bool request_in_flight = false;  ///< A shared request is in flight.
+    SharedRequestPointer next_request;  ///< The next shared request; null: no caller waits.
   };
   /// Another daemon, as a home of tenants.
   struct Link {
@@ -107,30 +107,31 @@
     std::uint64_t incarnation = 0;
     std::shared_ptr<wire::Channel> channel;  ///< Null until the first request.
     core::Instant avoided_until{};           ///< Not asked until then, after a call failed.
-    std::map<QuotaAsked, TenantAtHome> tenants;
+    std::map<QuotaAsked, HomeState> tenants;
     std::vector<GivenBackOperation> given_back;  ///< To be sent; kMostGivenBack at most.
   };
   using LinkPointer = std::shared_ptr<Link>;
 
   /// One caller's part of a reply. If neither field is set, this home cannot serve the tenant now.
-  struct CallersShare {
+  struct CallerResult {
     std::optional<tenancy::TokenNumber> granted;
     std::optional<core::Duration> retry_in;
   };
 
-  CallersShare take_own_share(const QuotaAsked& asked, const TakeOwn& take_own);
-  boost::asio::awaitable<CallersShare> ask_one(LinkPointer link, QuotaAsked asked);
-  static CallersShare share_of(const Question& question, std::uint32_t index);
+  CallerResult take_from_self(const QuotaAsked& scope, const TakeOwn& take_from_local_home);
+  boost::asio::awaitable<CallerResult> ask_home(LinkPointer link, QuotaAsked scope);
+  static CallerResult result_for_caller(const SharedRequest& request, std::uint32_t caller_index);
   /// Sends the request for all of its callers, then the next one for the callers that arrived meanwhile.
-  boost::asio::awaitable<void> ask_for_all(LinkPointer link, QuotaAsked asked, QuestionPointer question);
-  static void note(Link& link, const QuotaAsked& asked, const core::Result<QuotaReply>& reply);
-  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaAsked asked,
+  boost::asio::awaitable<void> run_shared_request(LinkPointer link, QuotaAsked scope,
+                                                  SharedRequestPointer request);
+  static void record_reply(Link& link, const QuotaAsked& scope, const core::Result<QuotaReply>& reply);
+  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaAsked scope,
                                                        std::uint32_t operations);
 
   boost::asio::io_context& io_;
   core::DaemonId self_;
   std::map<core::DaemonId, LinkPointer> links_;
-  std::map<QuotaAsked, core::Instant> own_empty_until_;  ///< empty_until of this daemon's own home.
+  std::map<QuotaAsked, core::Instant> local_empty_until_;  ///< empty_until of this daemon's own home.
   QuotaCounters counters_;
 };
 
@@ -138,13 +139,13 @@
 /// flight, later callers wait for the next. At other times each caller sends its own request, because
 /// operations are available and batching would only add latency. Covers several retry intervals of a tenant
 /// that stays over its limit.
-inline constexpr core::Duration kAskTogether = std::chrono::milliseconds(1000);
+inline constexpr core::Duration kShareRequestsAfterShortage = std::chrono::milliseconds(1000);
 /// Time-out of a quota request. A home answers from memory and a round trip between zones takes 2 ms, so
 /// after this time it is better to ask another home.
 inline constexpr core::Duration kQuotaTimeout = std::chrono::milliseconds(120);
 /// A daemon that did not answer, or is not a home of the tenant, is not asked for this long.
-inline constexpr core::Duration kAvoidSilentHome = std::chrono::milliseconds(300);
+inline constexpr core::Duration kHomeBackoff = std::chrono::milliseconds(300);
 /// Retry hint for callers when no home gave a usable answer.
-inline constexpr core::Duration kQuotaComeBack = std::chrono::milliseconds(200);
+inline constexpr core::Duration kNoHomeRetryAfter = std::chrono::milliseconds(200);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/quota_messages.hpp
+++ b/src/pooling/quota_messages.hpp
@@ -21,7 +21,7 @@
   MSGPACK_DEFINE(tenant, number);
 };
 
-/// Most returned operations in one request. Further ones are dropped and stay charged to their tenant.
+/// Limit on returned operations in one request. Further ones are dropped and stay charged to their tenant.
 inline constexpr std::size_t kMostGivenBack = 64;
 
 /// Asks for operations of a tenant's quota. Answered with a QuotaReply.
@@ -38,14 +38,14 @@
 struct QuotaReply {
   bool granted = false;             ///< At least one operation was granted.
   bool is_home = false;             ///< False: the daemon grants nothing for this tenant now.
-  std::uint32_t retry_in_ms = 0;    ///< If fewer were granted than requested.
-  tenancy::TokenNumber number = 0;  ///< Of the first granted operation; consecutive.
+  std::uint32_t retry_in_ms = 0;    ///< Time to wait if fewer were granted than requested.
+  tenancy::TokenNumber number = 0;  ///< Token of the first granted operation; the others follow it.
   std::uint32_t operations = 0;     ///< Number granted.
 
   MSGPACK_DEFINE(granted, is_home, retry_in_ms, number, operations);
 };
 
-inline QuotaReply reply_of(const tenancy::QuotaGrant& grant) {
+inline QuotaReply to_quota_reply(const tenancy::QuotaGrant& grant) {
   const auto retry_in = std::chrono::ceil<std::chrono::milliseconds>(grant.retry_in);
   return QuotaReply{grant.granted > 0, grant.is_home, static_cast<std::uint32_t>(retry_in.count()),
                     grant.first, grant.granted};
--- a/src/pooling/request_trace.cpp
+++ b/src/pooling/request_trace.cpp
@@ -11,7 +11,7 @@
 
 using logging::field;
 
-std::string text_of(const std::optional<core::LogPosition>& position) {
+std::string position_text(const std::optional<core::LogPosition>& position) {
   return position ? fmt::format("{}.{}", position->term, position->index) : "-";
 }
 
@@ -61,7 +61,7 @@
   for (const TraceStep& step : steps_) {
     log->info("event={} request={} group={} database={} term={} after={} at_ms={} detail={}",
               to_string(step.event), request, field(subject.group.value()), field(step.database.value()),
-              step.term, text_of(step.after), core::to_millis(step.at), field(step.detail));
+              step.term, position_text(step.after), core::to_millis(step.at), field(step.detail));
   }
   const char* outcome = reply.failure ? to_string(reply.failure->code) : "late";
   log->info(
--- a/src/pooling/request_trace.hpp
+++ b/src/pooling/request_trace.hpp
@@ -58,7 +58,7 @@
   /// Logs all steps and the outcome, one line each.
   void write(core::Instant now, const TraceSubject& subject, const StatementReply& reply) const;
 
-  [[nodiscard]] core::Duration taken(core::Instant now) const { return now - started_; }
+  [[nodiscard]] core::Duration elapsed(core::Instant now) const { return now - started_; }
 
  private:
   core::Instant started_;
--- a/src/pooling/session_state.cpp
+++ b/src/pooling/session_state.cpp
@@ -6,7 +6,7 @@
 namespace pipitpond::pooling {
 namespace {
 
-Statement own_statement(StatementKind kind, std::string name, std::string arguments) {
+Statement proxy_statement(StatementKind kind, std::string name, std::string arguments) {
   Statement statement;
   statement.kind = kind;
   statement.name = std::move(name);
@@ -16,10 +16,10 @@
 
 /// A value can be overwritten, but only a reset removes it.
 bool needs_reset(const SessionState& session, const ConnectionState& connection) {
-  const bool foreign_value =
+  const bool other_sessions_value =
       std::any_of(connection.values.begin(), connection.values.end(),
                   [&session](const auto& value) { return !session.values.contains(value.first); });
-  return foreign_value || connection.prepared.size() > kMaxPreparedPerConnection;
+  return other_sessions_value || connection.prepared.size() > kMaxPreparedPerConnection;
 }
 
 void set_values(const SessionState& session, ConnectionState& connection,
@@ -29,7 +29,7 @@
     if (known != connection.values.end() && known->second == value) {
       continue;
     }
-    statements.push_back(own_statement(StatementKind::kSetValue, name, value));
+    statements.push_back(proxy_statement(StatementKind::kSetValue, name, value));
     connection.values[name] = value;
   }
 }
@@ -40,7 +40,7 @@
   if (known == connection.prepared.end()) {
     const std::string name = "p" + std::to_string(++connection.names_given);
     known = connection.prepared.emplace(shape, name).first;
-    Statement prepare = own_statement(StatementKind::kPrepare, name, shape.shape);
+    Statement prepare = proxy_statement(StatementKind::kPrepare, name, shape.shape);
     prepare.writes = shape.writes;
     statements.push_back(std::move(prepare));
   }
@@ -53,7 +53,7 @@
                                         Statement& statement, bool in_transaction) {
   std::vector<Statement> statements;
   if (!in_transaction && needs_reset(session, connection)) {
-    statements.push_back(own_statement(StatementKind::kReset, {}, {}));
+    statements.push_back(proxy_statement(StatementKind::kReset, {}, {}));
     connection.values.clear();
     connection.prepared.clear();
   }
--- a/src/pooling/statement_forwarder.cpp
+++ b/src/pooling/statement_forwarder.cpp
@@ -20,15 +20,15 @@
 
 /// An owner that cannot reach a database is not asked for it for this long. That is a few times a database's
 /// usual latency, so that attempts during a network partition cost little and its end is noticed soon.
-constexpr core::Duration kAvoidUnreached = std::chrono::milliseconds(250);
+constexpr core::Duration kUnreachableBackoff = std::chrono::milliseconds(250);
 /// An owner that is stopping is not asked for this long.
-constexpr core::Duration kAvoidLeaving = std::chrono::milliseconds(1000);
+constexpr core::Duration kLeavingBackoff = std::chrono::milliseconds(1000);
 
 std::uint32_t millis(core::Duration duration) {
   return static_cast<std::uint32_t>(std::max<std::int64_t>(core::to_millis(duration), 0));
 }
 
-core::Error not_run(const std::string& why) {
+core::Error not_run_error(const std::string& why) {
   return core::Error{core::ErrorKind::kConnectionRefused, why, "Choose another database, or try again.", 100};
 }
 
@@ -39,12 +39,12 @@
 }
 
 /// Updates the owner's health. Any answer shows that the owner is alive, including an error.
-void note_sign_of_life(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply) {
+void record_owner_response(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply) {
   const core::Instant now = core::BootClock::now();
   const core::ErrorKind kind = reply ? core::ErrorKind::kUnavailable : reply.error().kind;
-  const bool unreached = kind == core::ErrorKind::kConnectionLost || kind == core::ErrorKind::kTimeout ||
+  const bool no_answer = kind == core::ErrorKind::kConnectionLost || kind == core::ErrorKind::kTimeout ||
                          kind == core::ErrorKind::kConnectionRefused;
-  if (unreached) {
+  if (no_answer) {
     link.health.on_abandoned(now, number, kind != core::ErrorKind::kTimeout);
   } else {
     link.health.on_answered(now, number);
@@ -52,7 +52,7 @@
 }
 
 /// The part of the session's state that the statement needs.
-SessionState state_for(const SessionState& session, const Statement& statement) {
+SessionState state_needed_by(const SessionState& session, const Statement& statement) {
   SessionState needed;
   needed.values = session.values;
   const auto shape = session.prepared.find(statement.name);
@@ -78,16 +78,16 @@
                                               core::Duration timeout) override {
     ForwardedStatement message;
     message.database = pool_->address().database;
-    message.session = state_for(session, statement.statement);
+    message.session = state_needed_by(session, statement.statement);
     message.statement = std::move(statement.statement);
     message.after = statement.after;
     message.priority = request_.priority;
     message.tenant = request_.tenant.value_or(core::TenantName());
-    const core::Instant give_up = core::BootClock::now() + timeout;
+    const core::Instant deadline = core::BootClock::now() + timeout;
     if (transaction_ != 0) {
-      co_return co_await run_in_transaction(std::move(message), give_up);
+      co_return co_await run_in_transaction(std::move(message), deadline);
     }
-    co_return co_await offer_to_owners(std::move(message), give_up);
+    co_return co_await try_owners(std::move(message), deadline);
   }
 
   void discard() override {
@@ -104,58 +104,58 @@
  private:
   /// Tries another owner only if the previous one did not run the statement, and only within longest_wait:
   /// the log position required of a read allows for no longer wait. After that the caller must choose again.
-  awaitable<core::Result<StatementReply>> offer_to_owners(ForwardedStatement message, core::Instant give_up) {
-    const core::Instant stop_offering =
-        std::min(give_up, core::BootClock::now() + kFirstOwnersWait * (kOwnersTried - 1));
+  awaitable<core::Result<StatementReply>> try_owners(ForwardedStatement message, core::Instant deadline) {
+    const core::Instant last_try_deadline =
+        std::min(deadline, core::BootClock::now() + kFirstOwnersWait * (kOwnersTried - 1));
     std::vector<core::DaemonId> tried;
-    core::Error last = not_run("No daemon that owns connections to the database can be reached.");
+    core::Error last_error = not_run_error("No daemon that owns connections to the database can be reached.");
     while (std::ssize(tried) < kOwnersTried) {
       const core::Instant now = core::BootClock::now();
       link_ = forwarder_.choose(owners_, tried, *pool_, message.tenant, now);
-      if (!link_ || now > stop_offering) {
+      if (!link_ || now > last_try_deadline) {
         break;
       }
       tried.push_back(link_->daemon);
-      const bool last_one = std::ssize(tried) == kOwnersTried || tried.size() == owners_.size();
-      message.wait_ms = millis(last_one ? kLastOwnersWait : kFirstOwnersWait);
-      auto answer = co_await ask(message, give_up);
+      const bool is_last_owner = std::ssize(tried) == kOwnersTried || tried.size() == owners_.size();
+      message.wait_ms = millis(is_last_owner ? kLastOwnersWait : kFirstOwnersWait);
+      auto answer = co_await ask(message, deadline);
       if (answer || may_have_run(answer.error())) {
         co_return answer;
       }
-      last = answer.error();
-      if (last.kind == core::ErrorKind::kUnavailable) {
-        link_->unreached[pool_->address().database] = core::BootClock::now() + kAvoidUnreached;
+      last_error = answer.error();
+      if (last_error.kind == core::ErrorKind::kUnavailable) {
+        link_->unreachable_until[pool_->address().database] = core::BootClock::now() + kUnreachableBackoff;
       }
     }
-    co_return not_run(last.message);
+    co_return not_run_error(last_error.message);
   }
 
   awaitable<core::Result<StatementReply>> run_in_transaction(ForwardedStatement message,
-                                                             core::Instant give_up) {
+                                                             core::Instant deadline) {
     message.transaction = transaction_;
-    auto answer = co_await ask(message, give_up);
+    auto answer = co_await ask(message, deadline);
     if (!answer && !may_have_run(answer.error())) {
-      co_return not_run(answer.error().message);
+      co_return not_run_error(answer.error().message);
     }
     co_return answer;
   }
 
-  awaitable<core::Result<StatementReply>> ask(const ForwardedStatement& asked, core::Instant give_up) {
+  awaitable<core::Result<StatementReply>> ask(const ForwardedStatement& forwarded, core::Instant deadline) {
     const std::shared_ptr<OwnerLink> link = link_;
     const core::Instant sent = core::BootClock::now();
-    ForwardedStatement message = asked;
-    message.timeout_ms = millis(give_up - sent);
-    message.goal_ms = millis(std::min(give_up, request_.goal) - sent);
+    ForwardedStatement message = forwarded;
+    message.timeout_ms = millis(deadline - sent);
+    message.goal_ms = millis(std::min(deadline, request_.goal) - sent);
     message.waited_ms = millis(sent - request_.since.value_or(sent));
     ++forwarder_.counters_.sent;
     ++link->outstanding;
     const BatchNumber number = link->health.on_sent(sent, false);
     std::string body = wire::pack(message);
     const auto reply = co_await link->channel->call(wire::MessageType::kStatement, std::move(body),
-                                                    std::max(give_up - sent, core::Duration::zero()));
+                                                    std::max(deadline - sent, core::Duration::zero()));
     --link->outstanding;
     const core::Instant now = core::BootClock::now();
-    note(*link, number, reply, now);
+    record_reply(*link, number, reply, now);
     if (!reply) {
       co_return reply.error();
     }
@@ -170,13 +170,14 @@
 
   /// Records the reply. Any answer shows that the owner is alive; errors of its database do not affect its
   /// health.
-  void note(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply, core::Instant now) {
-    note_sign_of_life(link, number, reply);
+  void record_reply(OwnerLink& link, BatchNumber number, const core::Result<std::string>& reply,
+                    core::Instant now) {
+    record_owner_response(link, number, reply);
     if (reply) {
       return;
     }
     if (reply.error().kind == core::ErrorKind::kLeaving) {
-      link.avoided_until = now + kAvoidLeaving;
+      link.avoided_until = now + kLeavingBackoff;
     }
     ++(may_have_run(reply.error()) ? forwarder_.counters_.lost : forwarder_.counters_.not_run);
   }
@@ -208,19 +209,19 @@
     link->zone = daemon.zone;
     link->incarnation = daemon.incarnation;
     link->preference = ownership::weight_of(self_, id);
-    renew_channel(*link);
+    replace_channel(*link);
     links_.emplace(id, std::move(link));
   }
 }
 
-void StatementForwarder::renew_channel(OwnerLink& link) {
+void StatementForwarder::replace_channel(OwnerLink& link) {
   link.channel = wire::Channel::create(io_, link.endpoint);
 }
 
 bool StatementForwarder::usable(const OwnerLink& link, const core::DatabaseId& database, core::Instant now) {
-  const auto unreached = link.unreached.find(database);
-  const bool reaches_it = unreached == link.unreached.end() || now >= unreached->second;
-  return reaches_it && link.health.usable() && now >= link.avoided_until;
+  const auto skipped = link.unreachable_until.find(database);
+  const bool reaches_database = skipped == link.unreachable_until.end() || now >= skipped->second;
+  return reaches_database && link.health.usable() && now >= link.avoided_until;
 }
 
 bool StatementForwarder::reaches(const std::vector<core::DaemonId>& owners, const core::DatabaseId& database,
@@ -242,7 +243,7 @@
                                                                   core::Duration timeout) {
   const LinkPointer link = choose(owners, {}, *pool, {}, core::BootClock::now());
   if (!link) {
-    co_return not_run("No daemon that owns connections to the database can be reached.");
+    co_return not_run_error("No daemon that owns connections to the database can be reached.");
   }
   std::string body = wire::pack(ForwardedStatusRequest{pool->address().database, millis(timeout)});
   const auto answer =
@@ -259,7 +260,7 @@
                                                                      core::Duration timeout) {
   const LinkPointer link = choose(owners, {}, *primary, {}, core::BootClock::now());
   if (!link) {
-    co_return not_run("No daemon that owns connections to the primary can be reached.");
+    co_return not_run_error("No daemon that owns connections to the primary can be reached.");
   }
   ++counters_.positions_asked;
   const auto answer =
@@ -280,14 +281,14 @@
   const core::Instant sent = core::BootClock::now();
   const LinkPointer link = choose(owners, tried, *primary, {}, sent);
   if (!link) {
-    co_return not_run("No daemon that owns connections to the primary can be reached.");
+    co_return not_run_error("No daemon that owns connections to the primary can be reached.");
   }
   tried.push_back(link->daemon);
   const BatchNumber number = link->health.on_sent(sent, false);
   const core::Duration timeout = std::chrono::milliseconds(request.timeout_ms) + kProofWay;
   const auto answer =
       co_await link->channel->call(wire::MessageType::kShownPrimary, wire::pack(request), timeout);
-  note_sign_of_life(*link, number, answer);
+  record_owner_response(*link, number, answer);
   if (!answer) {
     co_return answer.error();
   }
@@ -301,19 +302,19 @@
                                                            core::Instant now) const {
   const OwnerQuestion question{tenant, zone_, pool.zone()};
   LinkPointer best;
-  OwnerRank least;
+  OwnerRank best_rank;
   for (const core::DaemonId& owner : owners) {
     const auto found = links_.find(owner);
-    const bool offered = std::find(tried.begin(), tried.end(), owner) != tried.end();
-    if (found == links_.end() || offered || !usable(*found->second, pool.address().database, now)) {
+    const bool already_tried = std::find(tried.begin(), tried.end(), owner) != tried.end();
+    if (found == links_.end() || already_tried || !usable(*found->second, pool.address().database, now)) {
       continue;
     }
     const LinkPointer& link = found->second;
-    const OwnerRank its_rank =
+    const OwnerRank link_rank =
         rank(OwnerCandidate{&link->daemon, &link->zone, link->outstanding, link->preference}, question);
-    if (!best || its_rank < least) {
+    if (!best || link_rank < best_rank) {
       best = link;
-      least = its_rank;
+      best_rank = link_rank;
     }
   }
   return best;
@@ -345,7 +346,7 @@
   if (was_usable && !link->health.usable()) {
     logging::logger("forward")->warn("event=suspect daemon={} suspicion=unreachable given_up={}",
                                      link->daemon.value(), link->outstanding);
-    renew_channel(*link);  // Fails the calls that wait for the owner.
+    replace_channel(*link);  // Fails the calls that wait for the owner.
   } else if (!was_usable && link->health.usable()) {
     logging::logger("forward")->info("event=trust daemon={}", link->daemon.value());
   }
--- a/src/pooling/statement_forwarder.hpp
+++ b/src/pooling/statement_forwarder.hpp
@@ -40,7 +40,7 @@
   std::uint64_t preference = 0;
   core::Instant avoided_until{};  ///< Not asked until then, as it is stopping.
   /// Databases that the owner could not reach, and until when it is not asked for them.
-  std::map<core::DatabaseId, core::Instant> unreached;
+  std::map<core::DatabaseId, core::Instant> unreachable_until;
 };
 
 /// Counts of forwarded statements and their results.
@@ -110,7 +110,7 @@
                                    const std::vector<core::DaemonId>& tried, const BackendPool& pool,
                                    const core::TenantName& tenant, core::Instant now) const;
   boost::asio::awaitable<void> probe(LinkPointer link);
-  void renew_channel(OwnerLink& link);
+  void replace_channel(OwnerLink& link);
 
   boost::asio::io_context& io_;
   core::DaemonId self_;
@@ -122,7 +122,7 @@
 /// Longest wait for a connection at an owner while other owners remain to be tried, and at the last one.
 inline constexpr core::Duration kFirstOwnersWait = std::chrono::milliseconds(30);
 inline constexpr core::Duration kLastOwnersWait = std::chrono::milliseconds(120);
-/// Most owners tried for one statement.
+/// Limit on the owners tried for one statement.
 inline constexpr int kOwnersTried = 3;
 /// Longest time from forwarding a statement until an owner begins to run it.
 inline constexpr core::Duration kLongestForwardWait = kFirstOwnersWait * (kOwnersTried - 1) + kLastOwnersWait;
--- a/tests/pooling/caller_access_test.cpp
+++ b/tests/pooling/caller_access_test.cpp
@@ -50,8 +50,8 @@
     return std::make_unique<CallerSession>(services_, "writes", tenancy::digest_of(key));
   }
 
-  StatementReply run(CallerSession& session, Statement asked) {
-    return pipitpond::testing::run(io_, session.run(std::move(asked)));
+  StatementReply run(CallerSession& session, Statement statement) {
+    return pipitpond::testing::run(io_, session.run(std::move(statement)));
   }
   StatementReply read(CallerSession& session) {
     return run(session, example_statement(StatementKind::kRead));
@@ -70,7 +70,7 @@
   SessionServices services_;
 };
 
-TEST_F(CallerAccessTest, DatabasesAreToldTheTenantsName) {
+TEST_F(CallerAccessTest, ConnectionsCarryTheTenantsName) {
   EXPECT_FALSE(read(*session("k1")).failure);
   EXPECT_FALSE(read(*session("k2")).failure);
   ASSERT_EQ(ran().size(), 2U);
@@ -86,7 +86,7 @@
   EXPECT_EQ(access_.counters().unknown_key, 1U);
 }
 
-TEST_F(CallerAccessTest, AnOpenSessionWhoseKeyGoesIsToldAtItsNextStatement) {
+TEST_F(CallerAccessTest, ASessionWhoseKeyIsRemovedIsDeniedAtItsNextStatement) {
   const auto caller = session("k1");
   EXPECT_FALSE(read(*caller).failure);
   change_tenants([](protocol::Tenants& tenants) { tenants[0].keys.clear(); });
@@ -94,7 +94,7 @@
   EXPECT_EQ(ran().size(), 1U);
 }
 
-TEST_F(CallerAccessTest, AKeyThatMovesServesItsNewTenant) {
+TEST_F(CallerAccessTest, AKeyMovedToAnotherTenantServesThatTenant) {
   const auto caller = session("k1");
   EXPECT_FALSE(read(*caller).failure);
   change_tenants([](protocol::Tenants& tenants) { std::swap(tenants[0].keys, tenants[1].keys); });
@@ -102,7 +102,7 @@
   EXPECT_EQ(ran()[1].tenant, "t2");
 }
 
-TEST_F(CallerAccessTest, ATransactionWhoseKeyGoesEndsAndKeepsNothing) {
+TEST_F(CallerAccessTest, ATransactionWhoseKeyIsRemovedIsRolledBack) {
   const auto caller = session("k1");
   EXPECT_FALSE(run(*caller, example_statement(StatementKind::kBegin)).failure);
   EXPECT_FALSE(run(*caller, example_statement(StatementKind::kWrite, "thing data")).failure);
@@ -115,7 +115,7 @@
   EXPECT_EQ(*connector_.database("a").open_connections, 0) << "the database rolls back";
 }
 
-TEST_F(CallerAccessTest, ATransactionWhoseKeyMovesEndsToo) {
+TEST_F(CallerAccessTest, ATransactionWhoseKeyMovesToAnotherTenantIsAborted) {
   const auto caller = session("k1");
   EXPECT_FALSE(run(*caller, example_statement(StatementKind::kBegin)).failure);
   change_tenants([](protocol::Tenants& tenants) { std::swap(tenants[0].keys, tenants[1].keys); });
@@ -126,7 +126,7 @@
   EXPECT_EQ(caller->state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerAccessTest, OutOfTouchForLongNothingRunsAndTheCallerMayTryElsewhere) {
+TEST_F(CallerAccessTest, WithAnOutdatedKeyTableNothingRunsAndTheCallerMayRetry) {
   const auto caller = session("k1");
   agent_.complete = core::BootClock::now() - kRevocation;
   const StatementReply reply = read(*caller);
@@ -137,7 +137,7 @@
   EXPECT_FALSE(read(*caller).failure);
 }
 
-TEST_F(CallerAccessTest, AStatementThatWaitedWhileItsKeyWentDoesNotRun) {
+TEST_F(CallerAccessTest, AWaitingStatementWhoseKeyIsRemovedDoesNotRun) {
   connector_.database("a").work = milliseconds(60);
   std::vector<std::unique_ptr<CallerSession>> sessions;
   std::vector<std::shared_ptr<pipitpond::testing::Pending<StatementReply>>> pending;
@@ -158,7 +158,7 @@
   EXPECT_EQ(ran().size() + denied, pending.size());
 }
 
-TEST_F(CallerAccessTest, WhatIsOverTheQuotaIsRefusedAtOnceSayingWhenToComeBack) {
+TEST_F(CallerAccessTest, AnOperationOverTheQuotaIsRefusedAtOnceWithARetryTime) {
   protocol::Configuration configuration = configuration_with_tenants(protocol::TenantQuota{1, 1});
   configuration.routes.version = 3;
   configuration.daemons.begin()->second.live_since = 1;
@@ -178,9 +178,9 @@
   EXPECT_EQ(counters_.failures.at(static_cast<std::size_t>(FailureCode::kOverQuota)), 1U);
 }
 
-class GivenBackTest : public CallerAccessTest {
+class ReturnedQuotaTest : public CallerAccessTest {
  protected:
-  GivenBackTest() {
+  ReturnedQuotaTest() {
     protocol::Configuration configuration = configuration_with_tenants(protocol::TenantQuota{100, 100});
     configuration.routes.version = 3;
     configuration.daemons.begin()->second.live_since = 1;
@@ -190,7 +190,7 @@
   [[nodiscard]] std::uint64_t given_back() const { return access_.home().given_back(); }
 };
 
-TEST_F(GivenBackTest, AnOperationThatFoundNoConnectionGoesBackToItsHome) {
+TEST_F(ReturnedQuotaTest, AnOperationThatFoundNoConnectionIsReturnedToItsHome) {
   connector_.database("a").refuses_connections = true;
   const StatementReply reply = read(*session("k1"));
   ASSERT_TRUE(reply.failure);
@@ -198,38 +198,38 @@
   EXPECT_EQ(given_back(), 1U);
 }
 
-TEST_F(GivenBackTest, AnOperationThatTheDatabaseRefusedGoesBackToItsHome) {
-  constexpr std::size_t kMoreThanAreTried = 10'000;
-  connector_.database("a").next_failures.assign(kMoreThanAreTried, FailureCode::kBusy);
+TEST_F(ReturnedQuotaTest, AnOperationThatTheDatabaseRefusedIsReturnedToItsHome) {
+  constexpr std::size_t kMoreThanAllAttempts = 10'000;
+  connector_.database("a").next_failures.assign(kMoreThanAllAttempts, FailureCode::kBusy);
   const StatementReply reply = read(*session("k1"));
   ASSERT_TRUE(reply.failure);
   EXPECT_TRUE(surely_not_run(reply.failure->code));
   EXPECT_EQ(given_back(), 1U);
 }
 
-TEST_F(GivenBackTest, WhatRanDoesNotGoBack) {
+TEST_F(ReturnedQuotaTest, AnOperationThatRanIsNotReturned) {
   EXPECT_FALSE(read(*session("k1")).failure);
   EXPECT_EQ(given_back(), 0U);
 }
 
-TEST_F(GivenBackTest, WhatMayHaveRunDoesNotGoBack) {
+TEST_F(ReturnedQuotaTest, AnOperationThatMayHaveRunIsNotReturned) {
   connector_.database("a").break_after_running = true;
   const StatementReply write = run(*session("k1"), example_statement(StatementKind::kWrite, "thing data"));
   EXPECT_EQ(write.failure->code, FailureCode::kUnsure);
   EXPECT_EQ(given_back(), 0U);
 }
 
-TEST_F(GivenBackTest, AReadThatRanAndThenFoundNoConnectionDoesNotGoBack) {
-  constexpr std::size_t kMoreThanAreTried = 10'000;
+TEST_F(ReturnedQuotaTest, AReadThatRanAndThenFoundNoFreeSlotIsNotReturned) {
+  constexpr std::size_t kMoreThanAllAttempts = 10'000;
   std::vector<FailureCode>& failures = connector_.database("a").next_failures;
-  failures.assign(kMoreThanAreTried, FailureCode::kBusy);
+  failures.assign(kMoreThanAllAttempts, FailureCode::kBusy);
   failures.front() = FailureCode::kFailed;
   const StatementReply reply = read(*session("k1"));
   ASSERT_TRUE(reply.failure);
   EXPECT_EQ(given_back(), 0U);
 }
 
-TEST_F(GivenBackTest, AHomeTakesBackWhatAnotherDaemonTellsWithItsNextQuestionOnce) {
+TEST_F(ReturnedQuotaTest, AHomeAcceptsEachReturnedOperationOnce) {
   const core::TenantName tenant("t1");
   const core::Instant now = core::BootClock::now();
   agent_.complete = now;
@@ -241,7 +241,7 @@
   EXPECT_EQ(given_back(), 1U);
 }
 
-TEST_F(CallerAccessTest, ADaemonThatJustJoinedGivesNothingAsAHome) {
+TEST_F(CallerAccessTest, ADaemonThatJustJoinedGrantsNothingAsAHome) {
   protocol::Configuration configuration = configuration_with_tenants(protocol::TenantQuota{100, 100});
   configuration.routes.version = 3;
   configuration.daemons.begin()->second.incarnation = 1;
--- a/tests/pooling/caller_session_test.cpp
+++ b/tests/pooling/caller_session_test.cpp
@@ -28,13 +28,14 @@
     backends_.apply(agent_.configuration());
   }
 
-  /// Applies a failover: an empty `primary` begins a new term without a primary, a name sets its primary.
+  /// Applies a failover: an empty `primary` begins a new term without a primary, a name sets its
+  /// primary.
   void change_primary(const std::string& primary) {
     protocol::Configuration configuration = agent_.configuration();
     protocol::Group& group = configuration.groups.begin()->second;
     const core::Term term = group.terms.back().term;
-    const bool begins = primary.empty();
-    if (begins) {
+    const bool begins_term = primary.empty();
+    if (begins_term) {
       group.terms.push_back(protocol::TermStart{term + 1, {}, {}});
     } else {
       group.terms.back().primary = core::DatabaseId(primary);
@@ -44,8 +45,8 @@
     apply();
   }
 
-  StatementReply run(CallerSession& session, Statement asked) {
-    return pipitpond::testing::run(io_, session.run(std::move(asked)));
+  StatementReply run(CallerSession& session, Statement statement) {
+    return pipitpond::testing::run(io_, session.run(std::move(statement)));
   }
 
   /// Lets the daemon learn a log position of the primary.
@@ -55,7 +56,7 @@
   }
 
   /// Keeps the databases from confirming the primary: the replicas do not report their status.
-  void silence_replicas() {
+  void stop_replica_status() {
     connector_.database("b").tells_no_status = true;
     connector_.database("c").tells_no_status = true;
   }
@@ -117,7 +118,7 @@
 }
 
 TEST_F(CallerSessionTest, WithoutALeaseNoReadIsSentThatOnlyThePrimaryCouldServe) {
-  silence_replicas();
+  stop_replica_status();
   agent_.lease = false;
   for (const char* route : {"writes", "board", "own"}) {
     CallerSession session(services_, route);
@@ -136,7 +137,7 @@
   EXPECT_EQ(ran("b")[0].after, (core::LogPosition{1, 40}));
 }
 
-TEST_F(CallerSessionTest, AReplicaThatIsBehindIsPassedOver) {
+TEST_F(CallerSessionTest, AReplicaThatIsBehindIsSkipped) {
   connector_.database("a").position = {1, 40};
   learn_position();
   connector_.database("b").position = {1, 39};
@@ -169,8 +170,8 @@
 // --- Reads that must come from the current primary
 // ---------------------------------------------------------------------------------------------------
 
-TEST_F(CallerSessionTest, WithoutALeaseNoReadIsServedAsThePrimarys) {
-  silence_replicas();
+TEST_F(CallerSessionTest, WithoutALeaseAReadOfAPrimaryRouteIsRefused) {
+  stop_replica_status();
   agent_.lease = false;
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kRead));
@@ -179,15 +180,15 @@
   EXPECT_NE(reply.failure->text.find("retry in"), std::string::npos);
 }
 
-TEST_F(CallerSessionTest, WithoutALeasePositionsAreNotTakenOver) {
+TEST_F(CallerSessionTest, WithoutALeaseNoPositionIsRecorded) {
   CallerSession session(services_, "writes");
-  silence_replicas();
+  stop_replica_status();
   agent_.lease = false;
   run(session, example_statement(StatementKind::kRead));
   EXPECT_FALSE(backends_.position_for(core::GroupName("g"), milliseconds(1500), core::BootClock::now()));
 }
 
-TEST_F(CallerSessionTest, WithoutALeaseTheDatabasesShowWhoThePrimaryIs) {
+TEST_F(CallerSessionTest, WithoutALeaseReadsRunOnceTheDatabasesConfirmThePrimary) {
   // Without this rule reads are refused while all control replicas are down; 1,787 refusals were seen.
   agent_.lease = false;
   for (const char* route : {"writes", "board", "own"}) {
@@ -197,11 +198,11 @@
   EXPECT_FALSE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, WhatTheDatabasesShowedBeforeAReadWasAskedForDoesNotServeIt) {
+TEST_F(CallerSessionTest, APrimaryConfirmedBeforeAReadArrivedIsNotTrustedForIt) {
   agent_.lease = false;
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
-  silence_replicas();
+  stop_replica_status();
   pipitpond::testing::run_until(
       io_, [] { return false; }, milliseconds(50));
   EXPECT_EQ(run(session, example_statement(StatementKind::kRead)).failure->code, FailureCode::kBusy);
@@ -215,7 +216,7 @@
   EXPECT_TRUE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, TheDatabasesWordDoesNotCountWhereNoReceiptIsAsked) {
+TEST_F(CallerSessionTest, WithoutSyncReplicasTheDatabasesCannotConfirmThePrimary) {
   protocol::Configuration configuration = agent_.configuration();
   configuration.groups.begin()->second.sync_replicas = 0;
   agent_.set_configuration(configuration);
@@ -258,7 +259,7 @@
   EXPECT_EQ(known_since(begun), connector_.database("a").position);
 }
 
-TEST_F(CallerSessionTest, WithoutALeaseAWriteGivesNoPositionWhereNoReceiptIsAsked) {
+TEST_F(CallerSessionTest, WithoutALeaseAndWithoutSyncReplicasAWriteGivesNoPosition) {
   protocol::Configuration configuration = agent_.configuration();
   configuration.groups.begin()->second.sync_replicas = 0;
   agent_.set_configuration(configuration);
@@ -292,7 +293,7 @@
 // --- Failures and retries
 // ------------------------------------------------------------------------------------
 
-TEST_F(CallerSessionTest, AWriteWhoseAnswerIsLostIsUnsureAndNeverRepeated) {
+TEST_F(CallerSessionTest, AWriteWhoseAnswerIsLostHasAnUnknownOutcomeAndIsNeverRepeated) {
   connector_.database("a").break_after_running = true;
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -301,14 +302,14 @@
   EXPECT_EQ(ran("a").size(), 1U);
 }
 
-TEST_F(CallerSessionTest, AWriteThatWasNotRunIsTriedAgain) {
+TEST_F(CallerSessionTest, AWriteThatWasNotRunIsRetried) {
   connector_.database("a").next_failures = {FailureCode::kBusy, FailureCode::kBusy};
   CallerSession session(services_, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   EXPECT_EQ(ran("a").size(), 1U);
 }
 
-TEST_F(CallerSessionTest, AWriteThatRanAndFailedIsNotTriedAgain) {
+TEST_F(CallerSessionTest, AWriteThatRanAndFailedIsNotRetried) {
   connector_.database("a").next_failures = {FailureCode::kFailed};
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -317,7 +318,7 @@
   EXPECT_TRUE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, AReadWhoseAnswerIsLostIsReadElsewhere) {
+TEST_F(CallerSessionTest, AReadWhoseAnswerIsLostIsRetriedAtAnotherDatabase) {
   learn_position();
   connector_.database("b").break_after_running = true;
   CallerSession session(services_, "board");
@@ -327,7 +328,7 @@
       << "the read that fetched the position, and the second attempt";
 }
 
-TEST_F(CallerSessionTest, WithoutAPrimaryAWriteIsGivenUpEarlyAndTellsWhenToComeBack) {
+TEST_F(CallerSessionTest, WithoutAPrimaryAWriteIsGivenUpEarlyAndSaysWhenToRetry) {
   change_primary("");
   CallerSession session(services_, "writes");
   const core::Instant before = core::BootClock::now();
@@ -368,7 +369,7 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, AStatementOfATransactionThatAFullDatabaseDidNotRunIsTriedAgain) {
+TEST_F(CallerSessionTest, AStatementInATransactionIsRetriedIfTheDatabaseHadNoFreeSlot) {
   // Without a retry, a primary that briefly has no free slot aborts open transactions; 227 in 6 s were seen.
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
@@ -380,7 +381,7 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, AStatementOfATransactionIsNotTriedForItsWholeTime) {
+TEST_F(CallerSessionTest, AStatementInATransactionIsNotRetriedForItsWholeTimeout) {
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   connector_.database("a").next_failures.assign(1000, FailureCode::kBusy);
@@ -391,7 +392,7 @@
   EXPECT_LT(core::BootClock::now() - begun, milliseconds(250));
 }
 
-TEST_F(CallerSessionTest, ACommitWhoseAnswerIsLostIsUnsure) {
+TEST_F(CallerSessionTest, ACommitWhoseAnswerIsLostHasAnUnknownOutcome) {
   CallerSession session(services_, "writes");
   run(session, example_statement(StatementKind::kBegin, ""));
   run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -415,7 +416,7 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, ATransactionWhoseCallerRestsTooLongIsEnded) {
+TEST_F(CallerSessionTest, AnIdleTransactionIsAborted) {
   CallerSession session(services_, "writes");
   run(session, example_statement(StatementKind::kBegin, ""));
   session.end_transaction_when_idle(core::BootClock::now());
@@ -427,7 +428,7 @@
   EXPECT_EQ(backends_.pools()[0]->in_use(), 0U);
 }
 
-TEST_F(CallerSessionTest, ASessionThatEndsInATransactionGivesNoOpenConnectionBack) {
+TEST_F(CallerSessionTest, ASessionThatEndsInATransactionClosesItsConnection) {
   {
     CallerSession session(services_, "writes");
     run(session, example_statement(StatementKind::kBegin, ""));
@@ -453,7 +454,7 @@
   EXPECT_EQ(connector_.database("a").connections_opened, 1);
 }
 
-TEST_F(CallerSessionTest, AnUnknownPreparedNameIsRefusedHere) {
+TEST_F(CallerSessionTest, AnUnknownPreparedNameIsRefusedByTheProxy) {
   CallerSession session(services_, "writes");
   Statement executed = example_statement(StatementKind::kExecute);
   executed.name = "s1";
--- a/tests/pooling/fake_backends.hpp
+++ b/tests/pooling/fake_backends.hpp
@@ -112,30 +112,30 @@
     const Statement& statement = sent.statement;
     StatementReply reply;
     reply.position = database_.position;
-    const bool own = statement.id.empty();
-    if (!own && !database_.next_failures.empty()) {
+    const bool from_proxy = statement.id.empty();
+    if (!from_proxy && !database_.next_failures.empty()) {
       const FailureCode code = database_.next_failures.front();
       database_.next_failures.erase(database_.next_failures.begin());
       reply.failure = Failure{code, "set by the test"};
-      const TransactionState inside =
+      const TransactionState state_in_transaction =
           code == FailureCode::kBusy ? TransactionState::kOpen : TransactionState::kFailed;
-      reply.state = in_transaction_ ? inside : TransactionState::kIdle;
+      reply.state = in_transaction_ ? state_in_transaction : TransactionState::kIdle;
       return reply;
     }
     if (sent.after && database_.position < *sent.after) {
       reply.failure = Failure{FailureCode::kBehind, "set by the test"};
       return reply;
     }
-    take(statement);
+    apply_statement(statement);
     database_.ran.push_back(RanStatement{statement.id.value(), statement.kind, statement.name,
                                          statement.arguments, values_, sent.after, number_, tenant_});
     reply.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
-    reply.signature = own ? "" : "signed";
+    reply.signature = from_proxy ? "" : "signed";
     reply.position = database_.position;
     return reply;
   }
 
-  void take(const Statement& statement) {
+  void apply_statement(const Statement& statement) {
     switch (statement.kind) {
       case StatementKind::kBegin:
       case StatementKind::kBeginReadOnly:
--- a/tests/pooling/options_test.cpp
+++ b/tests/pooling/options_test.cpp
@@ -42,19 +42,19 @@
   return settings.options().access.quotas.excess;
 }
 
-TEST(PoolingSettings, TheExcessOfQuotasIsADecimalPart) {
+TEST(PoolingSettings, TheQuotaExcessIsADecimalFraction) {
   EXPECT_DOUBLE_EQ(excess_with({"--tenants.quota_excess", "0.25"}).value(), 0.25);
   EXPECT_DOUBLE_EQ(excess_with({"--tenants.quota_excess", "0"}).value(), 0);
   EXPECT_DOUBLE_EQ(
       excess_with({"--tenants.quota_excess", "0.25", "--tenants.quota_excess_percent", "7"}).value(), 0.25);
 }
 
-TEST(PoolingSettings, WithoutItThePercentageHolds) {
+TEST(PoolingSettings, WithoutQuotaExcessThePercentageApplies) {
   EXPECT_DOUBLE_EQ(excess_with({}).value(), 0.1);
   EXPECT_DOUBLE_EQ(excess_with({"--tenants.quota_excess_percent", "7"}).value(), 0.07);
 }
 
-TEST(PoolingSettings, AnExcessThatIsNoPartIsNotTaken) {
+TEST(PoolingSettings, AnInvalidQuotaExcessIsRejected) {
   for (const char* wrong : {"ten", "0.1x", "-0.1", "11", "nan"}) {
     EXPECT_FALSE(excess_with({"--tenants.quota_excess", wrong})) << wrong;
   }
--- a/tests/pooling/quota_asker_test.cpp
+++ b/tests/pooling/quota_asker_test.cpp
@@ -22,13 +22,13 @@
 const core::DaemonId kHome("home");
 const core::TenantName kTenant("t");
 
-QuotaReply granting(std::uint32_t operations, tenancy::TokenNumber first, std::uint32_t retry_in_ms = 0) {
+QuotaReply grant_reply(std::uint32_t operations, tenancy::TokenNumber first, std::uint32_t retry_in_ms = 0) {
   return QuotaReply{operations > 0, true, retry_in_ms, first, operations};
 }
 
-class QuotaAskerTest : public ::testing::Test {
+class QuotaClientTest : public ::testing::Test {
  protected:
-  QuotaAskerTest() : asker_(io_, core::DaemonId("asking")) {
+  QuotaClientTest() : client_(io_, core::DaemonId("asking")) {
     auto server = wire::Server::start(
         io_, "127.0.0.1", 0,
         [this](wire::PeerId, wire::MessageType, std::string body) { return answer(std::move(body)); });
@@ -38,14 +38,14 @@
     daemon.id = kHome;
     daemon.internal = {"127.0.0.1", server_->port()};
     configuration.daemons[daemon.id] = daemon;
-    asker_.apply(configuration);
+    client_.apply(configuration);
   }
 
   /// Answers with the next of `replies_`, or grants everything.
   boost::asio::awaitable<core::Result<std::string>> answer(std::string body) {
     const QuotaRequest request = wire::unpack<QuotaRequest>(body).value();
-    asked_.push_back(request);
-    QuotaReply reply = granting(request.operations, 1);
+    requests_.push_back(request);
+    QuotaReply reply = grant_reply(request.operations, 1);
     if (!replies_.empty()) {
       reply = replies_.front();
       replies_.pop_front();
@@ -55,7 +55,8 @@
   }
 
   PendingAnswer start(std::uint32_t priority = 0) {
-    return pipitpond::testing::start(io_, asker_.take({kHome}, QuotaAsked{kTenant, priority}, take_own_));
+    return pipitpond::testing::start(
+        io_, client_.take({kHome}, QuotaAsked{kTenant, priority}, take_from_local_home_));
   }
   QuotaAnswer finish(const PendingAnswer& pending) {
     EXPECT_TRUE(pipitpond::testing::run_until(io_, [&] { return pending->done(); }));
@@ -75,51 +76,51 @@
     return answers;
   }
   /// Lets the home refuse an operation, then waits until its retry delay has passed.
-  void run_short() {
-    constexpr std::uint32_t kTurnMillis = 5;
-    replies_.push_back(granting(0, 0, kTurnMillis));
+  void exhaust_home() {
+    constexpr std::uint32_t kRetryMillis = 5;
+    replies_.push_back(grant_reply(0, 0, kRetryMillis));
     EXPECT_EQ(finish(start()).outcome, QuotaOutcome::kOverQuota);
     pipitpond::testing::run_until(
-        io_, [] { return false; }, milliseconds(2 * kTurnMillis));
-    asked_.clear();
+        io_, [] { return false; }, milliseconds(2 * kRetryMillis));
+    requests_.clear();
   }
 
   boost::asio::io_context io_;
-  QuotaAsker asker_;
+  QuotaAsker client_;
   std::unique_ptr<wire::Server> server_;
-  TakeOwn take_own_ = [](const QuotaAsked&) { return tenancy::QuotaGrant{}; };
+  TakeOwn take_from_local_home_ = [](const QuotaAsked&) { return tenancy::QuotaGrant{}; };
   std::deque<QuotaReply> replies_;
-  std::vector<QuotaRequest> asked_;
+  std::vector<QuotaRequest> requests_;
   bool silent_ = false;
 };
 
-TEST_F(QuotaAskerTest, WhileTheHomeHasOperationsEachCallerAsksForItself) {
+TEST_F(QuotaClientTest, WhileTheHomeHasOperationsEachCallerSendsItsOwnRequest) {
   for (const QuotaAnswer& answer : ask_at_once(5)) {
     EXPECT_EQ(answer.outcome, QuotaOutcome::kGranted);
   }
-  ASSERT_EQ(asked_.size(), 5U);
-  for (const QuotaRequest& request : asked_) {
+  ASSERT_EQ(requests_.size(), 5U);
+  for (const QuotaRequest& request : requests_) {
     EXPECT_EQ(request.operations, 1U);
   }
 }
 
-TEST_F(QuotaAskerTest, UntilItsTurnADaemonAnswersWithoutAsking) {
-  replies_.push_back(granting(0, 0, 1000));
+TEST_F(QuotaClientTest, UntilTheRetryTimeCallersAreRefusedWithoutARequest) {
+  replies_.push_back(grant_reply(0, 0, 1000));
   EXPECT_EQ(finish(start()).outcome, QuotaOutcome::kOverQuota);
   for (const QuotaAnswer& answer : ask_at_once(5)) {
     EXPECT_EQ(answer.outcome, QuotaOutcome::kOverQuota);
     EXPECT_GT(answer.retry_in, milliseconds(500));
   }
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(requests_.size(), 1U);
 }
 
-TEST_F(QuotaAskerTest, AfterAShortageCallersThatWaitShareAQuestion) {
-  run_short();
-  replies_ = {granting(1, 50), granting(2, 100, 40)};
+TEST_F(QuotaClientTest, AfterAShortageWaitingCallersShareARequest) {
+  exhaust_home();
+  replies_ = {grant_reply(1, 50), grant_reply(2, 100, 40)};
   const std::vector<QuotaAnswer> answers = ask_at_once(5);
-  ASSERT_EQ(asked_.size(), 2U);
-  EXPECT_EQ(asked_[0].operations, 1U);
-  EXPECT_EQ(asked_[1].operations, 4U);
+  ASSERT_EQ(requests_.size(), 2U);
+  EXPECT_EQ(requests_[0].operations, 1U);
+  EXPECT_EQ(requests_[1].operations, 4U);
   std::vector<tenancy::TokenNumber> numbers;
   for (const QuotaAnswer& answer : answers) {
     if (answer.outcome == QuotaOutcome::kGranted) {
@@ -131,46 +132,46 @@
   EXPECT_EQ(numbers, (std::vector<tenancy::TokenNumber>{50, 100, 101}));
 }
 
-TEST_F(QuotaAskerTest, WhatACheapCallerWasToldDoesNotHoldUpAnUrgentOne) {
-  constexpr std::uint32_t kCheap = 2;
-  replies_ = {granting(0, 0, 1000)};
-  EXPECT_EQ(finish(start(kCheap)).outcome, QuotaOutcome::kOverQuota);
+TEST_F(QuotaClientTest, ARefusalAtLowPriorityDoesNotBlockAHigherPriority) {
+  constexpr std::uint32_t kLowPriority = 2;
+  replies_ = {grant_reply(0, 0, 1000)};
+  EXPECT_EQ(finish(start(kLowPriority)).outcome, QuotaOutcome::kOverQuota);
   EXPECT_EQ(finish(start(0)).outcome, QuotaOutcome::kGranted);
-  EXPECT_EQ(finish(start(kCheap)).outcome, QuotaOutcome::kOverQuota);
-  ASSERT_EQ(asked_.size(), 2U);
-  EXPECT_EQ(asked_[0].priority, kCheap);
-  EXPECT_EQ(asked_[1].priority, 0U);
+  EXPECT_EQ(finish(start(kLowPriority)).outcome, QuotaOutcome::kOverQuota);
+  ASSERT_EQ(requests_.size(), 2U);
+  EXPECT_EQ(requests_[0].priority, kLowPriority);
+  EXPECT_EQ(requests_[1].priority, 0U);
 }
 
-TEST_F(QuotaAskerTest, ThoseThatWaitAreToldWhenTheHomeHasNoneLeft) {
-  run_short();
-  replies_ = {granting(0, 0, 40)};
+TEST_F(QuotaClientTest, WaitingCallersAreRefusedWhenTheHomeHasNoneLeft) {
+  exhaust_home();
+  replies_ = {grant_reply(0, 0, 40)};
   for (const QuotaAnswer& answer : ask_at_once(5)) {
     EXPECT_EQ(answer.outcome, QuotaOutcome::kOverQuota);
   }
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(requests_.size(), 1U);
 }
 
-TEST_F(QuotaAskerTest, ThoseThatWaitForASilentHomeAreReleased) {
-  run_short();
+TEST_F(QuotaClientTest, CallersWaitingForASilentHomeAreReleased) {
+  exhaust_home();
   silent_ = true;
   for (const QuotaAnswer& answer : ask_at_once(5)) {
     EXPECT_EQ(answer.outcome, QuotaOutcome::kNotTold);
   }
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(requests_.size(), 1U);
 }
 
-TEST_F(QuotaAskerTest, WhatIsGivenBackGoesWithTheNextQuestionOnce) {
-  replies_ = {granting(1, 70)};
+TEST_F(QuotaClientTest, AReturnedOperationIsSentOnceWithTheNextRequest) {
+  replies_ = {grant_reply(1, 70)};
   const QuotaAnswer first = finish(start());
-  asker_.give_back(first.receipt.value());
+  client_.give_back(first.receipt.value());
   finish(start());
   finish(start());
-  ASSERT_EQ(asked_.size(), 3U);
-  ASSERT_EQ(asked_[1].given_back.size(), 1U);
-  EXPECT_EQ(asked_[1].given_back[0].tenant, kTenant);
-  EXPECT_EQ(asked_[1].given_back[0].number, 70U);
-  EXPECT_TRUE(asked_[2].given_back.empty());
+  ASSERT_EQ(requests_.size(), 3U);
+  ASSERT_EQ(requests_[1].given_back.size(), 1U);
+  EXPECT_EQ(requests_[1].given_back[0].tenant, kTenant);
+  EXPECT_EQ(requests_[1].given_back[0].number, 70U);
+  EXPECT_TRUE(requests_[2].given_back.empty());
 }
 
 }  // namespace
--- a/tests/pooling/session_state_test.cpp
+++ b/tests/pooling/session_state_test.cpp
@@ -24,7 +24,7 @@
   return statement;
 }
 
-TEST(AlignConnectionTest, AnEqualConnectionNeedsNothing) {
+TEST(AlignConnectionTest, AMatchingConnectionNeedsNoStatements) {
   SessionState session;
   session.values["zone"] = "north";
   ConnectionState connection;
@@ -33,7 +33,7 @@
   EXPECT_TRUE(align_connection(session, connection, statement, false).empty());
 }
 
-TEST(AlignConnectionTest, ForeignValuesAreResetFirst) {
+TEST(AlignConnectionTest, ValuesOfOtherSessionsAreResetFirst) {
   SessionState session;
   session.values["zone"] = "north";
   ConnectionState connection;
@@ -47,7 +47,7 @@
   EXPECT_TRUE(connection.prepared.empty());
 }
 
-TEST(AlignConnectionTest, EqualNamesOfTwoSessionsStayApart) {
+TEST(AlignConnectionTest, EqualPreparedNamesOfTwoSessionsStaySeparate) {
   SessionState one;
   one.prepared["s"] = PreparedShape{false, "first"};
   SessionState other;
@@ -65,7 +65,7 @@
 
 // Compares with a model connection that executes the alignment statements: afterwards it must have exactly
 // the session's values, and the executed name must denote the session's prepared statement.
-RC_GTEST_PROP(AlignConnectionProperty, AnyOrderOfSessionsSeesItsOwnState, ()) {
+RC_GTEST_PROP(AlignConnectionProperty, EverySessionSeesItsOwnStateInAnyOrder, ()) {
   std::vector<SessionState> sessions(3);
   ConnectionState connection;
   std::map<std::string, std::string> values;
--- a/tests/pooling/statement_forward_test.cpp
+++ b/tests/pooling/statement_forward_test.cpp
@@ -18,7 +18,7 @@
  protected:
   StatementForwardTest()
       : owner_(io_, "owner", "zone-owner"),
-        asking_(io_, "asking", "zone-asking"),
+        forwarding_(io_, "asking", "zone-asking"),
         service_(owner_.backends, owner_.access) {
     auto server = wire::Server::start(
         io_, "127.0.0.1", 0,
@@ -30,7 +30,7 @@
     owner_.connector.database("a").primary = true;
     configuration_ = configuration();
     owner_.apply(configuration_);
-    asking_.apply(configuration_);
+    forwarding_.apply(configuration_);
   }
 
   /// Only "owner", which is in the databases' zone, may hold connections.
@@ -79,17 +79,17 @@
   }
 
   /// Lets both daemons hold connections to all databases.
-  void let_both_own() {
+  void let_both_hold_connections() {
     for (protocol::Database& database : configuration_.groups.begin()->second.databases) {
       database.max_owners = 2;
     }
     ++configuration_.revision;
     owner_.apply(configuration_);
-    asking_.apply(configuration_);
+    forwarding_.apply(configuration_);
   }
 
-  StatementReply run(CallerSession& session, Statement asked) {
-    return pipitpond::testing::run(io_, session.run(std::move(asked)));
+  StatementReply run(CallerSession& session, Statement statement) {
+    return pipitpond::testing::run(io_, session.run(std::move(statement)));
   }
 
   void pause(milliseconds duration) {
@@ -98,11 +98,11 @@
   }
 
   std::vector<RanStatement>& ran() { return owner_.connector.database("a").ran; }
-  int own_connections() { return asking_.connector.database("a").connections_opened; }
+  int local_connections() { return forwarding_.connector.database("a").connections_opened; }
 
   boost::asio::io_context io_;
   DaemonParts owner_;
-  DaemonParts asking_;
+  DaemonParts forwarding_;
   ForwardService service_;
   protocol::Configuration configuration_;
   bool frozen_ = false;
@@ -113,57 +113,57 @@
 };
 
 TEST_F(StatementForwardTest, AStatementRunsOnAnOwnersConnection) {
-  CallerSession session(asking_.services, "writes");
+  CallerSession session(forwarding_.services, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
   EXPECT_FALSE(reply.failure);
   EXPECT_EQ(reply.signature, "signed");
   EXPECT_EQ(reply.position, owner_.connector.database("a").position);
   EXPECT_EQ(ran().size(), 1U);
-  EXPECT_EQ(own_connections(), 0);
+  EXPECT_EQ(local_connections(), 0);
   EXPECT_EQ(service_.in_progress(), 0U);
 }
 
-TEST_F(StatementForwardTest, AnOwnerThatCantReachTheDatabasePassesStatementsOn) {
+TEST_F(StatementForwardTest, AnOwnerThatCannotReachTheDatabaseForwardsStatements) {
   // A network partition cut the primary off from two thirds of the proxies, which then refused statements
   // although other owners could still reach it.
-  let_both_own();
-  asking_.connector.database("a").refuses_connections = true;
-  CallerSession session(asking_.services, "writes");
+  let_both_hold_connections();
+  forwarding_.connector.database("a").refuses_connections = true;
+  CallerSession session(forwarding_.services, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   EXPECT_EQ(ran().size(), 1U);
 }
 
-TEST_F(StatementForwardTest, AnOwnerWhoseConnectionsAreRefusedPassesStatementsOn) {
+TEST_F(StatementForwardTest, AnOwnerWhoseConnectionsAreRefusedForwardsStatements) {
   // After a power loss the database still counts the lost machine's connections against its limit, so that
   // another owner's new connections are refused.
-  let_both_own();
-  asking_.connector.database("a").max_connections = 0;
-  CallerSession session(asking_.services, "writes");
+  let_both_hold_connections();
+  forwarding_.connector.database("a").max_connections = 0;
+  CallerSession session(forwarding_.services, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   EXPECT_EQ(ran().size(), 1U);
 }
 
-TEST_F(StatementForwardTest, ADatabaseThatNoOwnerReachesIsAskedForSeldom) {
-  let_both_own();
-  asking_.connector.database("a").refuses_connections = true;
+TEST_F(StatementForwardTest, ADatabaseThatNoOwnerReachesIsRetriedSeldom) {
+  let_both_hold_connections();
+  forwarding_.connector.database("a").refuses_connections = true;
   owner_.connector.database("a").refuses_connections = true;
-  CallerSession session(asking_.services, "writes");
+  CallerSession session(forwarding_.services, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
   EXPECT_EQ(reply.failure->code, FailureCode::kBusy);
-  constexpr int kMostInItsWait =
+  constexpr int kMaxStatementsDuringWait =
       4;  // The statement waits 600 ms; an owner is skipped for 250 ms after each failure.
-  EXPECT_LE(statements_, kMostInItsWait);
+  EXPECT_LE(statements_, kMaxStatementsDuringWait);
 }
 
-TEST_F(StatementForwardTest, TheDatabasesAreAskedByWayOfTheirOwnersWhoThePrimaryIs) {
-  asking_.agent.lease = false;
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, ThePrimaryIsConfirmedThroughTheOwners) {
+  forwarding_.agent.lease = false;
+  CallerSession session(forwarding_.services, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
-  EXPECT_EQ(own_connections(), 0);
+  EXPECT_EQ(local_connections(), 0);
 }
 
 TEST_F(StatementForwardTest, AnOwnersPositionLetsAReplicaServeADaemonsFirstRead) {
-  CallerSession writer(asking_.services, "writes");
+  CallerSession writer(forwarding_.services, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
   const core::LogPosition written = owner_.connector.database("a").position;
   for (const char* replica : {"b", "c"}) {
@@ -181,8 +181,8 @@
   EXPECT_EQ((at_b.empty() ? at_c : at_b)[0].after, written);
 }
 
-TEST_F(StatementForwardTest, AReadAfterAWriteMissedByTheOwnersPositionStaysAtThePrimary) {
-  CallerSession writer(asking_.services, "writes");
+TEST_F(StatementForwardTest, AReadStaysAtThePrimaryWhileReplicasLackTheOwnersPosition) {
+  CallerSession writer(forwarding_.services, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
   // The replicas have not applied the write that the position includes.
   DaemonParts newcomer(io_, "newcomer", "zone-asking");
@@ -195,10 +195,10 @@
 TEST_F(StatementForwardTest, NoReplicaIsAskedWithAPositionThatIsTooOldAfterTheLongestWait) {
   // The statement may queue for 180 ms at an owner. A position that satisfies the staleness bound of 1,500 ms
   // now may not satisfy it then, and a replica's answer without a required position is not provably recent.
-  const auto primary = asking_.backends.as_chosen(core::DatabaseId("a"));
+  const auto primary = forwarding_.backends.as_chosen(core::DatabaseId("a"));
   const core::Instant now = core::BootClock::now();
-  asking_.backends.note_position(core::GroupName("g"), *primary, now - milliseconds(1400), now, {1, 1});
-  CallerSession reader(asking_.services, "board");
+  forwarding_.backends.note_position(core::GroupName("g"), *primary, now - milliseconds(1400), now, {1, 1});
+  CallerSession reader(forwarding_.services, "board");
   ASSERT_FALSE(run(reader, example_statement(StatementKind::kRead)).failure);
   for (const char* replica : {"b", "c"}) {
     for (const RanStatement& statement : owner_.connector.database(replica).ran) {
@@ -207,7 +207,7 @@
   }
 }
 
-TEST_F(StatementForwardTest, AnOwnerTellsNoPositionThatIsTooOldOrThatItHasNot) {
+TEST_F(StatementForwardTest, AnOwnerReportsNoUnknownOrTooOldPosition) {
   const core::Instant now = core::BootClock::now();
   const core::GroupName group("g");
   EXPECT_TRUE(owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions.empty());
@@ -217,26 +217,26 @@
   ASSERT_TRUE(primary && primary->is_primary);
   owner_.backends.note_position(group, *primary, now - milliseconds(800), now, {1, 5});
   owner_.backends.note_position(group, *primary, now - milliseconds(200), now, {1, 9});
-  const auto told = owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions;
-  ASSERT_EQ(told.size(), 2U);
-  EXPECT_EQ(told[0].position, (core::LogPosition{1, 5}));
-  EXPECT_GE(told[0].age_ms, 840U) << "the receiver's clock may be faster by 5%";
-  EXPECT_EQ(told[1].position, (core::LogPosition{1, 9}));
+  const auto positions = owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions;
+  ASSERT_EQ(positions.size(), 2U);
+  EXPECT_EQ(positions[0].position, (core::LogPosition{1, 5}));
+  EXPECT_GE(positions[0].age_ms, 840U) << "the receiver's clock may be faster by 5%";
+  EXPECT_EQ(positions[1].position, (core::LogPosition{1, 9}));
   EXPECT_EQ(owner_.backends.known_positions(PositionRequest{group, 810}, now).positions.size(), 1U);
   EXPECT_TRUE(owner_.backends.known_positions(PositionRequest{group, 100}, now).positions.empty());
 }
 
-TEST_F(StatementForwardTest, AnOwnerWithoutALeaseLearnsNoPositions) {
+TEST_F(StatementForwardTest, AnOwnerWithoutALeaseRecordsNoPositions) {
   owner_.agent.lease = false;
-  CallerSession writer(asking_.services, "writes");
+  CallerSession writer(forwarding_.services, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
   const PositionRequest request{core::GroupName("g"), 1000};
   EXPECT_TRUE(owner_.backends.known_positions(request, core::BootClock::now()).positions.empty());
 }
 
 TEST_F(StatementForwardTest, ATransactionKeepsOneConnectionOfTheOwner) {
-  CallerSession session(asking_.services, "writes");
-  CallerSession other(asking_.services, "writes");
+  CallerSession session(forwarding_.services, "writes");
+  CallerSession other(forwarding_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   ASSERT_FALSE(run(other, example_statement(StatementKind::kRead)).failure);
   ASSERT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
@@ -249,8 +249,8 @@
   EXPECT_EQ(service_.in_progress(), 0U);
 }
 
-TEST_F(StatementForwardTest, SessionValuesAndPreparedShapesGoAlong) {
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, SessionValuesAndPreparedStatementsAreForwarded) {
+  CallerSession session(forwarding_.services, "writes");
   Statement set = example_statement(StatementKind::kSetValue, "north");
   set.name = "zone";
   ASSERT_FALSE(run(session, set).failure);
@@ -262,29 +262,29 @@
   ASSERT_FALSE(run(session, executed).failure);
   EXPECT_EQ(ran().back().kind, StatementKind::kExecute);
   EXPECT_EQ(ran().back().values, (std::map<std::string, std::string>{{"zone", "north"}}));
-  CallerSession other(asking_.services, "writes");
+  CallerSession other(forwarding_.services, "writes");
   ASSERT_FALSE(run(other, example_statement(StatementKind::kRead)).failure);
   EXPECT_TRUE(ran().back().values.empty());
 }
 
-TEST_F(StatementForwardTest, AWriteWhoseAnswerIsLostBehindTheOwnerIsUnsureAndNeverRepeated) {
+TEST_F(StatementForwardTest, AWriteWhoseAnswerToTheOwnerIsLostHasAnUnknownOutcomeAndIsNeverRepeated) {
   owner_.connector.database("a").break_after_running = true;
-  CallerSession session(asking_.services, "writes");
+  CallerSession session(forwarding_.services, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
   ASSERT_TRUE(reply.failure);
   EXPECT_EQ(reply.failure->code, FailureCode::kUnsure);
   EXPECT_EQ(ran().size(), 1U);
 }
 
-TEST_F(StatementForwardTest, AWriteThatASilentOwnerHoldsIsUnsureAndRunsOnceAtMost) {
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, AWriteSentToASilentOwnerHasAnUnknownOutcomeAndRunsAtMostOnce) {
+  CallerSession session(forwarding_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   frozen_ = true;
   const core::Instant begun = core::BootClock::now();
   const auto pending =
       pipitpond::testing::start(io_, session.run(example_statement(StatementKind::kWrite, "thing data")));
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] {
-    asking_.backends.tick(core::BootClock::now());
+    forwarding_.backends.tick(core::BootClock::now());
     return pending->done();
   }));
   ASSERT_TRUE(pending->value->failure);
@@ -295,43 +295,43 @@
   EXPECT_LE(ran().size(), 2U);
 }
 
-TEST_F(StatementForwardTest, AReadThatASilentOwnerHoldsIsServedOtherwise) {
-  asking_.connector.database("a").primary = true;
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, AReadSentToASilentOwnerIsRetriedElsewhere) {
+  forwarding_.connector.database("a").primary = true;
+  CallerSession session(forwarding_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   frozen_ = true;
   const auto pending = pipitpond::testing::start(io_, session.run(example_statement(StatementKind::kRead)));
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] {
-    asking_.backends.tick(core::BootClock::now());
+    forwarding_.backends.tick(core::BootClock::now());
     return pending->done();
   }));
   EXPECT_FALSE(pending->value->failure);
-  EXPECT_EQ(own_connections(), 1);
+  EXPECT_EQ(local_connections(), 1);
 }
 
-TEST_F(StatementForwardTest, AnOwnerThatStopsRunsNothingNewAndIsPassedOver) {
-  asking_.connector.database("a").primary = true;
+TEST_F(StatementForwardTest, AStoppingOwnerRunsNothingNewAndIsSkipped) {
+  forwarding_.connector.database("a").primary = true;
   service_.refuse_new();
-  CallerSession session(asking_.services, "writes");
+  CallerSession session(forwarding_.services, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   EXPECT_TRUE(ran().empty());
-  EXPECT_EQ(own_connections(), 1);
+  EXPECT_EQ(local_connections(), 1);
 }
 
-TEST_F(StatementForwardTest, ATransactionThatIsGivenUpIsEndedAtTheOwner) {
+TEST_F(StatementForwardTest, AnAbandonedTransactionIsEndedAtTheOwner) {
   {
-    CallerSession session(asking_.services, "writes");
+    CallerSession session(forwarding_.services, "writes");
     ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
     ASSERT_EQ(service_.in_progress(), 1U);
   }
   EXPECT_TRUE(pipitpond::testing::run_until(io_, [&] { return service_.in_progress() == 0; }));
-  CallerSession next(asking_.services, "writes");
+  CallerSession next(forwarding_.services, "writes");
   ASSERT_FALSE(run(next, example_statement(StatementKind::kRead)).failure);
   EXPECT_EQ(ran().back().connection, 2) << "the connection of the open transaction was closed";
 }
 
-TEST_F(StatementForwardTest, ATransactionWhoseDaemonIsLostIsEnded) {
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, AnIdleTransactionOfALostDaemonIsAborted) {
+  CallerSession session(forwarding_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   service_.end_idle_transactions(core::BootClock::now() + milliseconds(300), milliseconds(200));
   EXPECT_EQ(service_.in_progress(), 1U) << "the forwarding daemon ends it first";
@@ -342,8 +342,8 @@
   EXPECT_EQ(reply.failure->code, FailureCode::kAborted);
 }
 
-TEST_F(StatementForwardTest, ATransactionIsKnownOnlyToTheConnectionThatBeganIt) {
-  CallerSession session(asking_.services, "writes");
+TEST_F(StatementForwardTest, ATransactionCanBeUsedOnlyByThePeerThatBeganIt) {
+  CallerSession session(forwarding_.services, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   ForwardedStatement forged;
   forged.database = core::DatabaseId("a");
@@ -359,7 +359,7 @@
   EXPECT_EQ(ran().size(), 1U);
 }
 
-TEST_F(StatementForwardTest, AfterASlowRefusalNoOtherOwnerGetsTheOldPosition) {
+TEST_F(StatementForwardTest, AfterASlowRefusalNoOtherOwnerGetsAPositionThatMayBeTooOld) {
   // Both owners have the address of the same server.
   protocol::Configuration two_owners = configuration_;
   protocol::Daemon second = two_owners.daemons.at(core::DaemonId("owner"));
@@ -370,13 +370,13 @@
   for (protocol::Database& database : two_owners.groups.begin()->second.databases) {
     database.max_owners = 2;
   }
-  asking_.apply(two_owners);
+  forwarding_.apply(two_owners);
   slow_refusal_ = true;
   const auto choice =
-      asking_.backends.choose(core::GroupName("g"), BackendNeed{true, {}, {}}, core::BootClock::now());
+      forwarding_.backends.choose(core::GroupName("g"), BackendNeed{true, {}, {}}, core::BootClock::now());
   ASSERT_TRUE(choice);
   const ConnectionRequest request{1, core::BootClock::now() + milliseconds(500), nullptr};
-  auto lease = pipitpond::testing::run(io_, asking_.backends.acquire(*choice, request));
+  auto lease = pipitpond::testing::run(io_, forwarding_.backends.acquire(*choice, request));
   ASSERT_TRUE(lease);
   const SessionState session;
   BackendStatement read{example_statement(StatementKind::kRead), core::LogPosition{1, 5}};
