--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -54,7 +54,7 @@
     return false;
   }
   const std::vector<core::DaemonId>& owners = agent_.owner_table().owners(pool.address().database);
-  return forwarder_.prefers_another(owners, pool, *request.tenant, now);
+  return forwarder_.prefers_other_owner(owners, pool, *request.tenant, now);
 }
 
 std::optional<BackendChoice> Backends::choose_for_read(const GroupView& view, const BackendNeed& need,
--- a/src/pooling/backends_positions.cpp
+++ b/src/pooling/backends_positions.cpp
@@ -4,14 +4,14 @@
 #include <utility>
 
 #include "pooling/backends.hpp"
-#include "pooling/told_age.hpp"
+#include "pooling/reported_age.hpp"
 
 namespace pipitpond::pooling {
 
 namespace {
 
 AgedPosition aged(const ShownPosition& shown, core::Instant now) {
-  return AgedPosition{told_age_ms(now - shown.sent), shown.position};
+  return AgedPosition{reported_age_ms(now - shown.sent), shown.position};
 }
 
 }  // namespace
@@ -143,7 +143,7 @@
     co_return;
   }
   const auto primary = found->second.members.find(found->second.primary);
-  const core::Duration most_age = staleness - kLongestForwardWait - kPositionTimeout;
+  const core::Duration most_age = staleness - kMaxForwardWait - kPositionTimeout;
   const bool useful = primary != found->second.members.end() && most_age > core::Duration::zero() &&
                       should_pass_on(*primary->second.pool, asked);
   if (!useful) {
@@ -181,7 +181,7 @@
     return reply;
   }
   const core::Duration most_age = std::chrono::milliseconds(request.max_age_ms);
-  const ShownPosition* oldest = view->positions.oldest_covering(now - countable_age(most_age));
+  const ShownPosition* oldest = view->positions.oldest_covering(now - max_reportable_age(most_age));
   if (oldest == nullptr) {
     return reply;
   }
--- a/src/pooling/caller_access.hpp
+++ b/src/pooling/caller_access.hpp
@@ -10,7 +10,7 @@
 #include "agent/agent.hpp"
 #include "core/clock.hpp"
 #include "core/ids.hpp"
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 #include "tenancy/access.hpp"
 #include "tenancy/quota_home.hpp"
 #include "tenancy/quota_homes.hpp"
@@ -50,7 +50,7 @@
   /// callers with a valid key are refused.
   [[nodiscard]] bool keys_are_certain(core::Instant now) const;
   /// Takes one operation from a tenant's quota. Tenants without a quota get kGranted at once.
-  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaAsked scope);
+  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaScope scope);
 
   /// Returns a granted operation that definitely did not run.
   void give_back(const QuotaReceipt& receipt);
@@ -73,8 +73,8 @@
   tenancy::TenantDirectory directory_;
   tenancy::QuotaHomes homes_;
   tenancy::QuotaHome home_;
-  QuotaAsker quota_client_;
-  TakeOwn take_from_local_home_;
+  QuotaClient quota_client_;
+  TakeFromLocalHome take_from_local_home_;
   std::uint64_t table_version_ = 0;
   bool incarnation_listed_ = false;  ///< The configuration lists this incarnation of the daemon.
   AccessCounters counters_;
--- a/src/pooling/caller_session.cpp
+++ b/src/pooling/caller_session.cpp
@@ -15,7 +15,7 @@
       choice(std::move(begin_choice)),
       failed(false),
       wrote(false),
-      rested_since(core::BootClock::now()) {}
+      last_statement_ended_at(core::BootClock::now()) {}
 
 TraceStep CallerSession::step_at(const BackendChoice& choice, TraceEvent event, std::string detail) {
   return TraceStep{{}, event, choice.pool->address().database, choice.term, {}, std::move(detail)};
@@ -44,7 +44,7 @@
   running_ = false;
   count(reply);
   if (transaction_) {
-    transaction_->rested_since = core::BootClock::now();
+    transaction_->last_statement_ended_at = core::BootClock::now();
   }
   co_return reply;
 }
@@ -91,7 +91,7 @@
   if (ends_transaction) {
     co_return failed_reply(FailureCode::kBad, "no transaction is open", TransactionState::kIdle);
   }
-  co_return co_await run_first(std::move(statement));
+  co_return co_await run_outside_transaction(std::move(statement));
 }
 
 // --- Statements answered without a database
@@ -99,17 +99,17 @@
 
 StatementReply CallerSession::set_value(const Statement& statement) {
   session_.values[statement.name] = statement.arguments;
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 StatementReply CallerSession::prepare(const Statement& statement) {
   session_.prepared[statement.name] = PreparedShape{statement.writes, statement.arguments};
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 StatementReply CallerSession::forget(const Statement& statement) {
   session_.prepared.erase(statement.name);
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 /// COMMIT and ROLLBACK end a failed transaction, whose changes are discarded; a COMMIT is answered with
@@ -117,7 +117,7 @@
 StatementReply CallerSession::end_failed_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
     close_transaction();
-    return succeeded_here(TransactionState::kIdle);
+    return local_success_reply(TransactionState::kIdle);
   }
   if (statement.kind == StatementKind::kCommit) {
     close_transaction();
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -50,7 +50,7 @@
 
   /// Aborts the transaction if it has been idle for the route table's limit. The caller learns of this with
   /// its next statement.
-  void end_transaction_when_idle(core::Instant now);
+  void end_transaction_if_idle(core::Instant now);
   /// Aborts the transaction if no statement is running, because the daemon stops.
   void end_transaction_for_stop();
 
@@ -69,7 +69,7 @@
     BackendChoice choice;
     bool failed;
     bool wrote;
-    core::Instant rested_since;
+    core::Instant last_statement_ended_at;
   };
 
   /// The database and route of a transaction.
@@ -97,7 +97,7 @@
     core::Duration retry_delay{};  ///< Delay before the next attempt.
     /// How long a read may queue at another daemon: its position must still satisfy the staleness bound after
     /// that time.
-    core::Duration longest_wait{};
+    core::Duration max_connection_wait{};
     RequestTrace trace{core::Instant{}};
   };
 
@@ -108,7 +108,7 @@
   StatementReply forget(const Statement& statement);
   StatementReply end_failed_transaction(const Statement& statement);
 
-  boost::asio::awaitable<StatementReply> run_first(Statement statement);
+  boost::asio::awaitable<StatementReply> run_outside_transaction(Statement statement);
   /// Checks the caller's key and takes one operation from its tenant's quota. Returns the reply if refused.
   boost::asio::awaitable<std::optional<StatementReply>> check_admission(PendingStatement& pending);
   /// Checks the caller's key. Returns the reply if it is refused, nothing if it is valid and still belongs to
@@ -129,8 +129,8 @@
   /// Why a read must not be sent to any database yet; null if it may.
   [[nodiscard]] const char* reason_to_wait(const PendingStatement& pending, const BackendNeed& need,
                                            core::Instant now);
-  [[nodiscard]] bool surely_fresh(const PendingStatement& pending, const BackendChoice& choice,
-                                  const BackendNeed& need, core::Instant now) const;
+  [[nodiscard]] bool is_proven_fresh(const PendingStatement& pending, const BackendChoice& choice,
+                                     const BackendNeed& need, core::Instant now) const;
   [[nodiscard]] ConnectionRequest connection_request(const PendingStatement& pending) const;
   boost::asio::awaitable<std::optional<StatementReply>> attempt(PendingStatement& pending);
   boost::asio::awaitable<std::optional<StatementReply>> attempt_at(PendingStatement& pending,
--- a/src/pooling/caller_session_access.cpp
+++ b/src/pooling/caller_session_access.cpp
@@ -56,7 +56,7 @@
 }
 
 void CallerSession::give_back_if_not_run(const PendingStatement& pending, const StatementReply& reply) const {
-  const bool not_run = reply.failure && surely_not_run(reply.failure->code) && !pending.may_have_run;
+  const bool not_run = reply.failure && guarantees_not_run(reply.failure->code) && !pending.may_have_run;
   if (pending.quota && not_run) {
     services_.access.give_back(*pending.quota);
   }
@@ -66,7 +66,7 @@
   if (auto refusal = check_caller_key(pending)) {
     co_return refusal;
   }
-  QuotaAsked scope{pending.access.tenant, pending.route.priority};
+  QuotaScope scope{pending.access.tenant, pending.route.priority};
   const QuotaAnswer answer = co_await services_.access.take_operation(std::move(scope));
   if (answer.outcome == QuotaOutcome::kGranted) {
     pending.quota = answer.receipt;
--- a/src/pooling/caller_session_search.cpp
+++ b/src/pooling/caller_session_routing.cpp
@@ -61,7 +61,7 @@
   return pending;
 }
 
-awaitable<StatementReply> CallerSession::run_first(Statement statement) {
+awaitable<StatementReply> CallerSession::run_outside_transaction(Statement statement) {
   auto pending = begin_statement(std::move(statement));
   if (!pending) {
     co_return failed_reply(FailureCode::kUnknownDatabase, database_, TransactionState::kIdle);
@@ -115,7 +115,7 @@
 StatementReply CallerSession::give_up(const PendingStatement& pending) const {
   ++services_.counters.given_up;
   Failure failure = pending.last_failure;
-  if (surely_not_run(failure.code)) {
+  if (guarantees_not_run(failure.code)) {
     failure = Failure{FailureCode::kBusy, retry_message(failure.text)};
   }
   return failed_reply(failure.code, failure.text, TransactionState::kIdle);
@@ -180,7 +180,7 @@
 }
 
 awaitable<std::optional<StatementReply>> CallerSession::attempt(PendingStatement& pending) {
-  if (lacks_position(pending, need_of(pending, core::BootClock::now() + pending.longest_wait))) {
+  if (lacks_position(pending, need_of(pending, core::BootClock::now() + pending.max_connection_wait))) {
     co_await services_.backends.ask_position(pending.route.group,
                                              std::chrono::milliseconds(pending.route.max_staleness_ms));
   }
@@ -188,7 +188,7 @@
   if (auto refusal = check_caller_key(pending)) {
     co_return refusal;  // The statement may have waited for long since it was admitted.
   }
-  const BackendNeed need = need_of(pending, now + pending.longest_wait);
+  const BackendNeed need = need_of(pending, now + pending.max_connection_wait);
   if (const char* reason = reason_to_wait(pending, need, now)) {
     pending.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
     pending.last_failure = Failure{FailureCode::kBusy, reason};
@@ -224,10 +224,10 @@
   if (auto refusal = check_caller_key(pending)) {
     co_return refusal;
   }
-  const BackendNeed need = need_of(pending, sent + lease->longest_wait());
+  const BackendNeed need = need_of(pending, sent + lease->max_connection_wait());
   if (!choice.is_primary && lacks_position(pending, need)) {
     // A replica's answer would not be provably recent. The next attempt allows for such a wait.
-    pending.longest_wait = lease->longest_wait();
+    pending.max_connection_wait = lease->max_connection_wait();
     co_return std::nullopt;
   }
   BackendStatement statement{pending.statement, {}};
@@ -244,7 +244,7 @@
     co_return on_attempt_lost(pending, choice, result.error());
   }
   StatementReply reply = std::move(result.value());
-  pending.may_have_run |= !reply.failure || !surely_not_run(reply.failure->code);
+  pending.may_have_run |= !reply.failure || !guarantees_not_run(reply.failure->code);
   if (reply.position) {
     services_.backends.note_position(pending.route.group, choice, sent, now, *reply.position);
   }
@@ -257,7 +257,7 @@
     }
     co_return on_attempt_failed(pending, choice, std::move(reply));
   }
-  if (!may_write(pending.statement) && !surely_fresh(pending, choice, need, now)) {
+  if (!may_write(pending.statement) && !is_proven_fresh(pending, choice, need, now)) {
     pending.last_failure = Failure{FailureCode::kBusy, "the current primary is not confirmed"};
     pending.trace.add(now,
                       step_at(choice, TraceEvent::kNotCertain, "no valid lease, or a newer term has begun"));
@@ -273,8 +273,8 @@
 /// A read is fresh if the database had to reach a required position. On routes whose reads must see every
 /// write only the primary qualifies, as confirmed by control's lease or by the databases after the read
 /// arrived.
-bool CallerSession::surely_fresh(const PendingStatement& pending, const BackendChoice& choice,
-                                 const BackendNeed& need, core::Instant now) const {
+bool CallerSession::is_proven_fresh(const PendingStatement& pending, const BackendChoice& choice,
+                                    const BackendNeed& need, core::Instant now) const {
   const bool by_position = pending.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
   const Backends& backends = services_.backends;
   const core::GroupName& group = pending.route.group;
@@ -315,14 +315,14 @@
   const FailureCode code = reply.failure->code;
   pending.trace.add(
       core::BootClock::now(),
-      step_at(choice, surely_not_run(code) ? TraceEvent::kNotRun : TraceEvent::kFailed, to_string(code)));
+      step_at(choice, guarantees_not_run(code) ? TraceEvent::kNotRun : TraceEvent::kFailed, to_string(code)));
   if (code == FailureCode::kBehind) {
     pool.reach().note_lacking(core::BootClock::now(), pending.after.value_or(core::LogPosition{}));
   }
   if (code == FailureCode::kReadOnly && choice.is_primary) {
     pool.health().on_refused_write();
   }
-  if (surely_not_run(code)) {
+  if (guarantees_not_run(code)) {
     ++services_.counters.retried;
     if (choice.is_primary) {
       pending.retry_delay = code == FailureCode::kReadOnly ? kNoBackendPause : kBusyPause;
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -121,7 +121,7 @@
 
 awaitable<core::Result<std::string>> ForwardService::run(wire::PeerId peer, ForwardedStatement forwarded) {
   if (forwarded.transaction == 0) {
-    co_return co_await run_first(peer, std::move(forwarded));
+    co_return co_await run_outside_transaction(peer, std::move(forwarded));
   }
   const auto found = transactions_.find(forwarded.transaction);
   const bool known = found != transactions_.end() && found->second->peer == peer && !found->second->running;
@@ -132,8 +132,8 @@
   co_return co_await run_in_transaction(std::move(held), std::move(forwarded));
 }
 
-awaitable<core::Result<std::string>> ForwardService::run_first(wire::PeerId peer,
-                                                               ForwardedStatement forwarded) {
+awaitable<core::Result<std::string>> ForwardService::run_outside_transaction(wire::PeerId peer,
+                                                                             ForwardedStatement forwarded) {
   if (refusing_new_) {
     co_return stopping_error();
   }
@@ -164,11 +164,11 @@
   auto ran =
       co_await held->lease->run(forwarded.session, std::move(statement), duration_of(forwarded.timeout_ms));
   held->running = false;
-  held->rested_since = core::BootClock::now();
+  held->last_statement_ended_at = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
     // Other daemons ask this one for positions: see Backends::ask_position.
     const core::GroupName& group = held->choice->pool->address().group;
-    backends_.note_position(group, *held->choice, sent, held->rested_since, *ran.value().position);
+    backends_.note_position(group, *held->choice, sent, held->last_statement_ended_at, *ran.value().position);
   }
   const bool open = ran && ran.value().state != TransactionState::kIdle;
   // If the peer has disconnected, no one would end the transaction.
@@ -233,7 +233,7 @@
     return;
   }
   std::erase_if(transactions_, [&](const auto& entry) {
-    return !entry.second->running && now - entry.second->rested_since >= limit + kIdleMargin;
+    return !entry.second->running && now - entry.second->last_statement_ended_at >= limit + kIdleMargin;
   });
 }
 
--- a/src/pooling/forward_service.hpp
+++ b/src/pooling/forward_service.hpp
@@ -50,13 +50,13 @@
     std::optional<BackendChoice> choice;  ///< The database, as known when the lease was granted.
     bool running = false;
     bool abandoned = false;  ///< Its daemon has ended it while a statement runs.
-    core::Instant rested_since{};
+    core::Instant last_statement_ended_at{};
   };
   using HeldTransactionPointer = std::shared_ptr<HeldTransaction>;
 
   boost::asio::awaitable<core::Result<std::string>> run(wire::PeerId peer, ForwardedStatement forwarded);
-  boost::asio::awaitable<core::Result<std::string>> run_first(wire::PeerId peer,
-                                                              ForwardedStatement forwarded);
+  boost::asio::awaitable<core::Result<std::string>> run_outside_transaction(wire::PeerId peer,
+                                                                            ForwardedStatement forwarded);
   boost::asio::awaitable<core::Result<std::string>> run_in_transaction(HeldTransactionPointer held,
                                                                        ForwardedStatement forwarded);
   boost::asio::awaitable<core::Result<std::string>> ask_status(ForwardedStatusRequest request);
--- a/src/pooling/metrics_page.cpp
+++ b/src/pooling/metrics_page.cpp
@@ -88,7 +88,7 @@
                "Times that an owner was asked for a primary's position, for reads at replicas.")
       .increment(as_double(counters.positions_asked));
   registry.counter("pipitpond_pooling_positions_told_total", "Those of them that brought one.")
-      .increment(as_double(counters.positions_told));
+      .increment(as_double(counters.positions_received));
 }
 
 void add_rounds(metrics::Registry& registry, const RoundCounters& counters) {
--- a/src/pooling/quota_asker.cpp
+++ b/src/pooling/quota_client.cpp
@@ -1,4 +1,4 @@
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -18,7 +18,7 @@
 namespace {
 
 // A separate function because GCC 12 destroys a temporary of such an initializer twice in a coroutine.
-std::string request_body(const QuotaAsked& scope, std::vector<GivenBackOperation> given_back,
+std::string request_body(const QuotaScope& scope, std::vector<GivenBackOperation> given_back,
                          std::uint32_t operations) {
   return wire::pack(QuotaRequest{scope.tenant, std::move(given_back), operations, scope.priority});
 }
@@ -36,9 +36,10 @@
 
 }  // namespace
 
-QuotaAsker::QuotaAsker(boost::asio::io_context& io, core::DaemonId self) : io_(io), self_(std::move(self)) {}
+QuotaClient::QuotaClient(boost::asio::io_context& io, core::DaemonId self)
+    : io_(io), self_(std::move(self)) {}
 
-void QuotaAsker::apply(const protocol::Configuration& configuration) {
+void QuotaClient::apply(const protocol::Configuration& configuration) {
   std::erase_if(links_, [&configuration](const auto& entry) {
     const auto found = configuration.daemons.find(entry.first);
     return found == configuration.daemons.end() || found->second.internal != entry.second->endpoint ||
@@ -55,12 +56,12 @@
   }
 }
 
-awaitable<QuotaAnswer> QuotaAsker::take(std::vector<core::DaemonId> homes, QuotaAsked scope,
-                                        const TakeOwn& take_from_local_home) {
+awaitable<QuotaAnswer> QuotaClient::take(std::vector<core::DaemonId> homes, QuotaScope scope,
+                                         const TakeFromLocalHome& take_from_local_home) {
   QuotaAnswer answer;
   answer.retry_in = kNoHomeRetryAfter;
   const auto note_empty = [&answer](core::Duration retry_in) {
-    const bool first = answer.outcome == QuotaOutcome::kNotTold;
+    const bool first = answer.outcome == QuotaOutcome::kNoHomeAvailable;
     answer.retry_in = first ? retry_in : std::min(answer.retry_in, retry_in);
     answer.outcome = QuotaOutcome::kOverQuota;
   };
@@ -82,8 +83,8 @@
   co_return answer;
 }
 
-QuotaAsker::CallerResult QuotaAsker::take_from_self(const QuotaAsked& scope,
-                                                    const TakeOwn& take_from_local_home) {
+QuotaClient::CallerResult QuotaClient::take_from_self(const QuotaScope& scope,
+                                                      const TakeFromLocalHome& take_from_local_home) {
   const core::Instant now = core::BootClock::now();
   const auto local_empty = local_empty_until_.find(scope);
   if (local_empty != local_empty_until_.end() && now < local_empty->second) {
@@ -100,7 +101,7 @@
   return CallerResult{{}, grant.retry_in};
 }
 
-awaitable<QuotaAsker::CallerResult> QuotaAsker::ask_home(LinkPointer link, QuotaAsked scope) {
+awaitable<QuotaClient::CallerResult> QuotaClient::ask_home(LinkPointer link, QuotaScope scope) {
   HomeState& state = link->tenants[scope];
   const core::Instant now = core::BootClock::now();
   if (now < link->avoided_until || now < state.not_home_until) {
@@ -131,8 +132,8 @@
   co_return result_for_caller(*request, 0);
 }
 
-QuotaAsker::CallerResult QuotaAsker::result_for_caller(const SharedRequest& request,
-                                                       std::uint32_t caller_index) {
+QuotaClient::CallerResult QuotaClient::result_for_caller(const SharedRequest& request,
+                                                         std::uint32_t caller_index) {
   if (!request.reply || !*request.reply || !request.reply->value().is_home) {
     return CallerResult{};
   }
@@ -145,8 +146,8 @@
   return CallerResult{{}, std::chrono::milliseconds(reply.retry_in_ms)};
 }
 
-awaitable<void> QuotaAsker::run_shared_request(LinkPointer link, QuotaAsked scope,
-                                               SharedRequestPointer request) {
+awaitable<void> QuotaClient::run_shared_request(LinkPointer link, QuotaScope scope,
+                                                SharedRequestPointer request) {
   HomeState& state = link->tenants[scope];
   request->reply = co_await ask(link, scope, request->operations);
   record_reply(*link, scope, *request->reply);
@@ -173,7 +174,7 @@
   next->answered.cancel();
 }
 
-void QuotaAsker::record_reply(Link& link, const QuotaAsked& scope, const core::Result<QuotaReply>& reply) {
+void QuotaClient::record_reply(Link& link, const QuotaScope& scope, const core::Result<QuotaReply>& reply) {
   const core::Instant now = core::BootClock::now();
   HomeState& state = link.tenants[scope];
   if (!reply) {
@@ -191,9 +192,9 @@
   }
 }
 
-void QuotaAsker::give_back(QuotaReceipt receipt) {
+void QuotaClient::give_back(QuotaReceipt receipt) {
   const auto found = links_.find(receipt.home);
-  if (found == links_.end() || found->second->given_back.size() >= kMostGivenBack) {
+  if (found == links_.end() || found->second->given_back.size() >= kMaxGivenBackPerRequest) {
     return;
   }
   ++counters_.given_back;
@@ -206,8 +207,8 @@
   link.given_back.push_back(std::move(receipt.operation));
 }
 
-awaitable<core::Result<QuotaReply>> QuotaAsker::ask(LinkPointer link, QuotaAsked scope,
-                                                    std::uint32_t operations) {
+awaitable<core::Result<QuotaReply>> QuotaClient::ask(LinkPointer link, QuotaScope scope,
+                                                     std::uint32_t operations) {
   if (!link->channel) {
     link->channel = wire::Channel::create(io_, link->endpoint);
   }
--- a/src/pooling/quota_asker.hpp
+++ b/src/pooling/quota_client.hpp
@@ -28,8 +28,8 @@
 /// Outcome of asking a tenant's homes.
 enum class QuotaOutcome : std::uint8_t {
   kGranted,
-  kOverQuota,  ///< At least one home has none left, and no other home granted one.
-  kNotTold,    ///< No home gave a usable answer.
+  kOverQuota,        ///< At least one home has none left, and no other home granted one.
+  kNoHomeAvailable,  ///< No home gave a usable answer.
 };
 
 /// Identifies a granted operation, so that it can be returned to its home.
@@ -40,7 +40,7 @@
 
 /// The combined answer of a tenant's homes.
 struct QuotaAnswer {
-  QuotaOutcome outcome = QuotaOutcome::kNotTold;
+  QuotaOutcome outcome = QuotaOutcome::kNoHomeAvailable;
   core::Duration retry_in{};            ///< If not granted: delay before the caller retries.
   std::optional<QuotaReceipt> receipt;  ///< Set if the operation can be returned.
 };
@@ -54,26 +54,26 @@
 
 /// Tenant and priority of an operation. Requests are batched, and refusals remembered, only among callers of
 /// the same tenant and priority.
-struct QuotaAsked {
+struct QuotaScope {
   core::TenantName tenant;
   std::uint32_t priority = 0;  ///< Of the route; 0 is the most urgent.
 
-  auto operator<=>(const QuotaAsked&) const = default;
+  auto operator<=>(const QuotaScope&) const = default;
 };
 
 /// Takes an operation from this daemon's own home, without a network call.
-using TakeOwn = std::function<tenancy::QuotaGrant(const QuotaAsked&)>;
+using TakeFromLocalHome = std::function<tenancy::QuotaGrant(const QuotaScope&)>;
 
 /// The client of tenancy::QuotaHome.
-class QuotaAsker {
+class QuotaClient {
  public:
-  QuotaAsker(boost::asio::io_context& io, core::DaemonId self);
+  QuotaClient(boost::asio::io_context& io, core::DaemonId self);
 
   /// Updates the links to the daemons that the configuration lists.
   void apply(const protocol::Configuration& configuration);
   /// Takes one operation. `homes` are asked in the given order.
-  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaAsked scope,
-                                           const TakeOwn& take_from_local_home);
+  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaScope scope,
+                                           const TakeFromLocalHome& take_from_local_home);
 
   /// Returns an operation that another daemon granted and that definitely did not run. It travels with the
   /// next request to that daemon; if none is sent in time, the operation stays charged to the tenant.
@@ -107,8 +107,8 @@
     std::uint64_t incarnation = 0;
     std::shared_ptr<wire::Channel> channel;  ///< Null until the first request.
     core::Instant avoided_until{};           ///< Not asked until then, after a call failed.
-    std::map<QuotaAsked, HomeState> tenants;
-    std::vector<GivenBackOperation> given_back;  ///< To be sent; kMostGivenBack at most.
+    std::map<QuotaScope, HomeState> tenants;
+    std::vector<GivenBackOperation> given_back;  ///< To be sent; kMaxGivenBackPerRequest at most.
   };
   using LinkPointer = std::shared_ptr<Link>;
 
@@ -118,20 +118,20 @@
     std::optional<core::Duration> retry_in;
   };
 
-  CallerResult take_from_self(const QuotaAsked& scope, const TakeOwn& take_from_local_home);
-  boost::asio::awaitable<CallerResult> ask_home(LinkPointer link, QuotaAsked scope);
+  CallerResult take_from_self(const QuotaScope& scope, const TakeFromLocalHome& take_from_local_home);
+  boost::asio::awaitable<CallerResult> ask_home(LinkPointer link, QuotaScope scope);
   static CallerResult result_for_caller(const SharedRequest& request, std::uint32_t caller_index);
   /// Sends the request for all of its callers, then the next one for the callers that arrived meanwhile.
-  boost::asio::awaitable<void> run_shared_request(LinkPointer link, QuotaAsked scope,
+  boost::asio::awaitable<void> run_shared_request(LinkPointer link, QuotaScope scope,
                                                   SharedRequestPointer request);
-  static void record_reply(Link& link, const QuotaAsked& scope, const core::Result<QuotaReply>& reply);
-  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaAsked scope,
+  static void record_reply(Link& link, const QuotaScope& scope, const core::Result<QuotaReply>& reply);
+  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaScope scope,
                                                        std::uint32_t operations);
 
   boost::asio::io_context& io_;
   core::DaemonId self_;
   std::map<core::DaemonId, LinkPointer> links_;
-  std::map<QuotaAsked, core::Instant> local_empty_until_;  ///< empty_until of this daemon's own home.
+  std::map<QuotaScope, core::Instant> local_empty_until_;  ///< empty_until of this daemon's own home.
   QuotaCounters counters_;
 };
 
--- a/src/pooling/quota_messages.hpp
+++ b/src/pooling/quota_messages.hpp
@@ -22,7 +22,7 @@
 };
 
 /// Limit on returned operations in one request. Further ones are dropped and stay charged to their tenant.
-inline constexpr std::size_t kMostGivenBack = 64;
+inline constexpr std::size_t kMaxGivenBackPerRequest = 64;
 
 /// Asks for operations of a tenant's quota. Answered with a QuotaReply.
 struct QuotaRequest {
--- a/src/pooling/told_age.hpp
+++ b/src/pooling/reported_age.hpp
@@ -18,7 +18,7 @@
 inline constexpr core::Duration kAgeRounding = std::chrono::milliseconds(2);
 
 /// The age to report for `age`, which must not be negative.
-inline std::uint32_t told_age_ms(core::Duration age) {
+inline std::uint32_t reported_age_ms(core::Duration age) {
   // Rounded up only once, at the end: 18.9 ms are 19.9 ms on a clock that is 5% faster.
   const core::Duration by_faster_clock = age + age / kClockDriftDivisor;
   return static_cast<std::uint32_t>(core::to_millis(by_faster_clock) + 1);
@@ -26,7 +26,7 @@
 
 /// The greatest age on the sender's clock that is reported as at most `max_reported`; negative if there is
 /// none.
-inline core::Duration countable_age(core::Duration max_reported) {
+inline core::Duration max_reportable_age(core::Duration max_reported) {
   return max_reported * kClockDriftDivisor / (kClockDriftDivisor + 1) - kAgeRounding;
 }
 
--- a/src/pooling/session_state.hpp
+++ b/src/pooling/session_state.hpp
@@ -37,7 +37,7 @@
 struct ConnectionState {
   SessionValues values;
   std::map<PreparedShape, std::string> prepared;  ///< Names on the connection, chosen by the proxy.
-  std::uint64_t names_given = 0;
+  std::uint64_t names_assigned = 0;
 };
 
 /// A connection with more prepared statements than this is reset before its next use.
--- a/src/pooling/statement.hpp
+++ b/src/pooling/statement.hpp
@@ -88,14 +88,14 @@
 bool may_write(const Statement& statement);
 bool begins_transaction(const Statement& statement);
 /// A success reply to a statement that the proxy has executed itself.
-StatementReply succeeded_here(TransactionState state);
+StatementReply local_success_reply(TransactionState state);
 StatementReply failed_reply(FailureCode code, std::string text, TransactionState state);
 
 /// Number of FailureCode values.
 inline constexpr std::size_t kFailureCodes = 15;
 
 /// True for failures that guarantee that the statement was not run.
-bool surely_not_run(FailureCode code);
+bool guarantees_not_run(FailureCode code);
 
 }  // namespace pipitpond::pooling
 
--- a/src/pooling/statement_forwarder.cpp
+++ b/src/pooling/statement_forwarder.cpp
@@ -97,27 +97,28 @@
     }
   }
 
-  [[nodiscard]] core::Duration longest_wait() const override {
-    return transaction_ != 0 ? core::Duration::zero() : kLongestForwardWait;
+  [[nodiscard]] core::Duration max_connection_wait() const override {
+    return transaction_ != 0 ? core::Duration::zero() : kMaxForwardWait;
   }
 
  private:
-  /// Tries another owner only if the previous one did not run the statement, and only within longest_wait:
-  /// the log position required of a read allows for no longer wait. After that the caller must choose again.
+  /// Tries another owner only if the previous one did not run the statement, and only within
+  /// max_connection_wait: the log position required of a read allows for no longer wait. After that the
+  /// caller must choose again.
   awaitable<core::Result<StatementReply>> try_owners(ForwardedStatement message, core::Instant deadline) {
     const core::Instant last_try_deadline =
-        std::min(deadline, core::BootClock::now() + kFirstOwnersWait * (kOwnersTried - 1));
+        std::min(deadline, core::BootClock::now() + kFirstOwnersMaxWait * (kMaxOwnersTried - 1));
     std::vector<core::DaemonId> tried;
     core::Error last_error = not_run_error("No daemon that owns connections to the database can be reached.");
-    while (std::ssize(tried) < kOwnersTried) {
+    while (std::ssize(tried) < kMaxOwnersTried) {
       const core::Instant now = core::BootClock::now();
       link_ = forwarder_.choose(owners_, tried, *pool_, message.tenant, now);
       if (!link_ || now > last_try_deadline) {
         break;
       }
       tried.push_back(link_->daemon);
-      const bool is_last_owner = std::ssize(tried) == kOwnersTried || tried.size() == owners_.size();
-      message.wait_ms = millis(is_last_owner ? kLastOwnersWait : kFirstOwnersWait);
+      const bool is_last_owner = std::ssize(tried) == kMaxOwnersTried || tried.size() == owners_.size();
+      message.wait_ms = millis(is_last_owner ? kLastOwnerMaxWait : kFirstOwnersMaxWait);
       auto answer = co_await ask(message, deadline);
       if (answer || may_have_run(answer.error())) {
         co_return answer;
@@ -270,7 +271,7 @@
   }
   auto reply = wire::unpack<PositionReply>(answer.value());
   if (reply && !reply.value().positions.empty()) {
-    ++counters_.positions_told;
+    ++counters_.positions_received;
   }
   co_return reply;
 }
@@ -320,8 +321,9 @@
   return best;
 }
 
-bool StatementForwarder::prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
-                                         const core::TenantName& tenant, core::Instant now) const {
+bool StatementForwarder::prefers_other_owner(const std::vector<core::DaemonId>& owners,
+                                             const BackendPool& pool, const core::TenantName& tenant,
+                                             core::Instant now) const {
   const LinkPointer best = choose(owners, {}, pool, tenant, now);
   const OwnerQuestion question{tenant, zone_, pool.zone()};
   return best && rank(OwnerCandidate{&best->daemon, &best->zone, best->outstanding, best->preference},
--- a/src/pooling/statement_forwarder.hpp
+++ b/src/pooling/statement_forwarder.hpp
@@ -25,7 +25,7 @@
 
 /// An owner that has a statement outstanding and has been silent for this long is probed. A live owner
 /// answers a probe at once, even while it waits for its database.
-inline constexpr core::Duration kDoubtOwnerAfterSilence = std::chrono::milliseconds(200);
+inline constexpr core::Duration kOwnerSilenceBeforeProbe = std::chrono::milliseconds(200);
 
 /// Another daemon to which statements may be forwarded.
 struct OwnerLink {
@@ -34,7 +34,7 @@
   core::ZoneName zone;
   std::uint64_t incarnation = 0;
   std::unique_ptr<wire::Channel> channel;
-  BackendHealth health{kDoubtOwnerAfterSilence};
+  BackendHealth health{kOwnerSilenceBeforeProbe};
   std::uint32_t outstanding = 0;  ///< Forwarded statements without a reply.
   /// Tie-breaker among equal owners, different at each forwarding daemon, which spreads the load.
   std::uint64_t preference = 0;
@@ -46,10 +46,10 @@
 /// Counts of forwarded statements and their results.
 struct ForwardCounters {
   std::uint64_t sent = 0;
-  std::uint64_t not_run = 0;          ///< Attempts that an owner refused, or that did not reach it.
-  std::uint64_t lost = 0;             ///< Attempts without an answer; they may have run.
-  std::uint64_t positions_asked = 0;  ///< Requests to owners for a primary's log position.
-  std::uint64_t positions_told = 0;   ///< Of these, those that returned a position.
+  std::uint64_t not_run = 0;             ///< Attempts that an owner refused, or that did not reach it.
+  std::uint64_t lost = 0;                ///< Attempts without an answer; they may have run.
+  std::uint64_t positions_asked = 0;     ///< Requests to owners for a primary's log position.
+  std::uint64_t positions_received = 0;  ///< Of these, those that returned a position.
   std::uint64_t probes = 0;
 };
 
@@ -70,8 +70,8 @@
                              core::Instant now) const;
   /// True if another owner is the better choice for the tenant's statements, although this daemon holds
   /// connections too.
-  [[nodiscard]] bool prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
-                                     const core::TenantName& tenant, core::Instant now) const;
+  [[nodiscard]] bool prefers_other_owner(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
+                                         const core::TenantName& tenant, core::Instant now) const;
   /// A lease on a connection of one of the owners, which is chosen when the first statement is run.
   std::unique_ptr<StatementLease> lease(const std::shared_ptr<BackendPool>& pool,
                                         std::vector<core::DaemonId> owners, const ConnectionRequest& request);
@@ -120,11 +120,12 @@
 };
 
 /// Longest wait for a connection at an owner while other owners remain to be tried, and at the last one.
-inline constexpr core::Duration kFirstOwnersWait = std::chrono::milliseconds(30);
-inline constexpr core::Duration kLastOwnersWait = std::chrono::milliseconds(120);
+inline constexpr core::Duration kFirstOwnersMaxWait = std::chrono::milliseconds(30);
+inline constexpr core::Duration kLastOwnerMaxWait = std::chrono::milliseconds(120);
 /// Limit on the owners tried for one statement.
-inline constexpr int kOwnersTried = 3;
+inline constexpr int kMaxOwnersTried = 3;
 /// Longest time from forwarding a statement until an owner begins to run it.
-inline constexpr core::Duration kLongestForwardWait = kFirstOwnersWait * (kOwnersTried - 1) + kLastOwnersWait;
+inline constexpr core::Duration kMaxForwardWait =
+    kFirstOwnersMaxWait * (kMaxOwnersTried - 1) + kLastOwnerMaxWait;
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/statement_lease.hpp
+++ b/src/pooling/statement_lease.hpp
@@ -27,7 +27,7 @@
   /// Closes the connection instead of returning it to the pool.
   virtual void discard() = 0;
   /// Upper bound on the time that the first statement may still wait for a connection.
-  [[nodiscard]] virtual core::Duration longest_wait() const = 0;
+  [[nodiscard]] virtual core::Duration max_connection_wait() const = 0;
 
  protected:
   StatementLease() = default;
--- a/tests/pooling/quota_asker_test.cpp
+++ b/tests/pooling/quota_client_test.cpp
@@ -1,6 +1,6 @@
 // How a daemon takes operations from a tenant's home: one request per caller while operations are available,
 // shared requests after the home had none left.
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -56,7 +56,7 @@
 
   PendingAnswer start(std::uint32_t priority = 0) {
     return pipitpond::testing::start(
-        io_, client_.take({kHome}, QuotaAsked{kTenant, priority}, take_from_local_home_));
+        io_, client_.take({kHome}, QuotaScope{kTenant, priority}, take_from_local_home_));
   }
   QuotaAnswer finish(const PendingAnswer& pending) {
     EXPECT_TRUE(pipitpond::testing::run_until(io_, [&] { return pending->done(); }));
@@ -86,9 +86,9 @@
   }
 
   boost::asio::io_context io_;
-  QuotaAsker client_;
+  QuotaClient client_;
   std::unique_ptr<wire::Server> server_;
-  TakeOwn take_from_local_home_ = [](const QuotaAsked&) { return tenancy::QuotaGrant{}; };
+  TakeFromLocalHome take_from_local_home_ = [](const QuotaScope&) { return tenancy::QuotaGrant{}; };
   std::deque<QuotaReply> replies_;
   std::vector<QuotaRequest> requests_;
   bool silent_ = false;
@@ -156,7 +156,7 @@
   exhaust_home();
   silent_ = true;
   for (const QuotaAnswer& answer : ask_at_once(5)) {
-    EXPECT_EQ(answer.outcome, QuotaOutcome::kNotTold);
+    EXPECT_EQ(answer.outcome, QuotaOutcome::kNoHomeAvailable);
   }
   EXPECT_EQ(requests_.size(), 1U);
 }
