--- a/src/pooling/caller_session.cpp
+++ b/src/pooling/caller_session.cpp
@@ -71,7 +71,7 @@
     case StatementKind::kForget:
       co_return forget(statement);
     case StatementKind::kReset:
-      co_return failed_reply(FailureCode::kBad, "RESET is reserved for the proxy", state());
+      co_return failed_reply(FailureCode::kBad, "not for callers", state());
     default:
       break;
   }
--- a/src/pooling/caller_session_access.cpp
+++ b/src/pooling/caller_session_access.cpp
@@ -19,10 +19,9 @@
 
 StatementReply refusal_of(tenancy::Verdict verdict) {
   if (verdict == tenancy::Verdict::kUnknownKey) {
-    return failed_reply(FailureCode::kDenied, "no tenant holds this key", TransactionState::kIdle);
+    return failed_reply(FailureCode::kDenied, "nobody holds this key", TransactionState::kIdle);
   }
-  const std::string text =
-      retry_message(kUncertainKeysRetryAfter, "this daemon's key table may be out of date");
+  const std::string text = retry_message(kUncertainKeysRetryAfter, "this daemon can't be sure of the keys");
   return failed_reply(FailureCode::kBusy, text, TransactionState::kIdle);
 }
 
@@ -75,9 +74,8 @@
   services_.access.count(answer);
   const bool over = answer.outcome == QuotaOutcome::kOverQuota;
   const char* reason = over ? "over_quota" : "quota_not_told";
-  const std::string text =
-      retry_message(answer.retry_in, over ? "the tenant has used up its quota"
-                                          : "no daemon that grants the tenant's quota answered");
+  const std::string text = retry_message(
+      answer.retry_in, over ? "the tenant has used up its quota" : "no home of the quota answers");
   log_refusal(pending.statement, pending.access.tenant, reason,
               services_.access.proof_age(core::BootClock::now()), answer.retry_in);
   co_return failed_reply(over ? FailureCode::kOverQuota : FailureCode::kBusy, text, TransactionState::kIdle);
--- a/src/pooling/caller_session_routing.cpp
+++ b/src/pooling/caller_session_routing.cpp
@@ -57,7 +57,7 @@
                           statement.kind == StatementKind::kBegin;
   pending.route = std::move(*route);
   pending.statement = std::move(statement);
-  pending.last_failure = Failure{FailureCode::kBusy, "no database can serve the statement now"};
+  pending.last_failure = Failure{FailureCode::kBusy, "no database can serve it now"};
   return pending;
 }
 
@@ -156,13 +156,13 @@
   }
   if (!services_.backends.may_trust_primaries(now)) {
     services_.backends.ask_databases(group, pending.started, now);
-    return "the current primary is not confirmed";
+    return "the primary is not certain";
   }
   if (!need.primary && services_.backends.awaits_position(group)) {
-    return "waiting for another daemon to report the primary's log position";
+    return "an owner was asked for the primary's position";
   }
   if (!need.primary && !services_.backends.take_position_seek(group, now)) {
-    return "another read is fetching the primary's log position";
+    return "another read asks for the primary's position";
   }
   return nullptr;
 }
@@ -258,9 +258,8 @@
     co_return on_attempt_failed(pending, choice, std::move(reply));
   }
   if (!may_write(pending.statement) && !is_proven_fresh(pending, choice, need, now)) {
-    pending.last_failure = Failure{FailureCode::kBusy, "the current primary is not confirmed"};
-    pending.trace.add(now,
-                      step_at(choice, TraceEvent::kNotCertain, "no valid lease, or a newer term has begun"));
+    pending.last_failure = Failure{FailureCode::kBusy, "the primary is not certain"};
+    pending.trace.add(now, step_at(choice, TraceEvent::kNotCertain, "no lease, or a newer term"));
     pending.retry_delay = kNoBackendPause;
     if (begins_transaction(pending.statement)) {
       lease->discard();
--- a/src/pooling/daemon.cpp
+++ b/src/pooling/daemon.cpp
@@ -195,10 +195,10 @@
   }
   const core::Instant last_confirmed = std::max(lease_lost_since_, backends_.last_shown_primary());
   if (!had_lease_ && core::BootClock::now() - last_confirmed > kMaxReadyWithoutLease) {
-    return "Control is unreachable, and the databases have not confirmed a primary.";
+    return "Control is out of reach.";
   }
   if (!access_.keys_are_certain(core::BootClock::now())) {
-    return "The key table may be out of date.";
+    return "The callers' keys are not certain.";
   }
   return {};
 }
