--- a/tests/pooling/caller_session_test.cpp
+++ b/tests/pooling/caller_session_test.cpp
@@ -28,13 +28,14 @@
     backends_.apply(agent_.configuration());
   }
 
-  /// The configuration with a further term: no primary while it changes.
+  /// Applies a failover: an empty `primary` begins a new term without a primary, a name sets its
+  /// primary.
   void change_primary(const std::string& primary) {
     protocol::Configuration configuration = agent_.configuration();
     protocol::Group& group = configuration.groups.begin()->second;
     const core::Term term = group.terms.back().term;
-    const bool begins = primary.empty();
-    if (begins) {
+    const bool begins_term = primary.empty();
+    if (begins_term) {
       group.terms.push_back(protocol::TermStart{term + 1, {}, {}});
     } else {
       group.terms.back().primary = core::DatabaseId(primary);
@@ -44,18 +45,18 @@
     apply();
   }
 
-  StatementReply run(CallerSession& session, Statement asked) {
-    return pipitpond::testing::run(io_, session.run(std::move(asked)));
+  StatementReply run(CallerSession& session, Statement statement) {
+    return pipitpond::testing::run(io_, session.run(std::move(statement)));
   }
 
-  /// Gives the daemon a position of the primary.
+  /// Lets the daemon learn a log position of the primary.
   void learn_position() {
     CallerSession session(services_, "writes");
     ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   }
 
-  /// The databases' own word of the primary is not to be had: the replicas don't answer.
-  void silence_replicas() {
+  /// Keeps the databases from confirming the primary: the replicas do not report their status.
+  void stop_replica_status() {
     connector_.database("b").fails_status = true;
     connector_.database("c").fails_status = true;
   }
@@ -98,7 +99,8 @@
 }
 
 TEST_F(CallerSessionTest, OneReadAsksThePrimaryForAPositionAndTheOthersWaitForIt) {
-  // Bench, kcbu-counts trouble-1: after a start all reads went to a primary with two slots.
+  // After a start no position is known. Without this rule all reads go to the primary, here one with two
+  // slots.
   connector_.database("a").work = milliseconds(30);
   std::vector<std::unique_ptr<CallerSession>> sessions;
   std::vector<std::shared_ptr<pipitpond::testing::Pending<StatementReply>>> pending;
@@ -116,7 +118,7 @@
 }
 
 TEST_F(CallerSessionTest, WithoutALeaseNoReadIsSentThatOnlyThePrimaryCouldServe) {
-  silence_replicas();
+  stop_replica_status();
   agent_.lease = false;
   for (const char* route : {"writes", "board", "own"}) {
     CallerSession session(services_, route);
@@ -135,7 +137,7 @@
   EXPECT_EQ(ran("b")[0].after, (core::LogPosition{1, 40}));
 }
 
-TEST_F(CallerSessionTest, AReplicaThatIsBehindIsPassedOver) {
+TEST_F(CallerSessionTest, AReplicaThatIsBehindIsSkipped) {
   connector_.database("a").position = {1, 40};
   learn_position();
   connector_.database("b").position = {1, 39};
@@ -154,7 +156,7 @@
   ASSERT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   const core::LogPosition written = connector_.database("a").position;
   EXPECT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
-  EXPECT_TRUE(ran("b").empty()) << "the replica lacks the write";
+  EXPECT_TRUE(ran("b").empty()) << "the replica has not applied the write";
   connector_.database("b").position = written;
   connector_.database("c").position = written;
   backends_.pools()[1]->reach() = ReplicaReach();
@@ -165,11 +167,11 @@
   EXPECT_GE(*ran("b")[0].after, written);
 }
 
-// --- Certainty
+// --- Reads that must come from the current primary
 // ---------------------------------------------------------------------------------------------------
 
-TEST_F(CallerSessionTest, WithoutALeaseNoReadIsServedAsThePrimarys) {
-  silence_replicas();
+TEST_F(CallerSessionTest, WithoutALeaseAReadOfAPrimaryRouteIsRefused) {
+  stop_replica_status();
   agent_.lease = false;
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kRead));
@@ -178,16 +180,16 @@
   EXPECT_NE(reply.failure->text.find("retry in"), std::string::npos);
 }
 
-TEST_F(CallerSessionTest, WithoutALeasePositionsAreNotTakenOver) {
+TEST_F(CallerSessionTest, WithoutALeaseNoPositionIsRecorded) {
   CallerSession session(services_, "writes");
-  silence_replicas();
+  stop_replica_status();
   agent_.lease = false;
   run(session, example_statement(StatementKind::kRead));
   EXPECT_FALSE(backends_.position_for(core::GroupName("g"), milliseconds(1500), core::BootClock::now()));
 }
 
-TEST_F(CallerSessionTest, WithoutALeaseTheDatabasesShowWhoThePrimaryIs) {
-  // Bench, kerbrat-pieces scale-2: 1,787 reads were refused while all of control was dead.
+TEST_F(CallerSessionTest, WithoutALeaseReadsRunOnceTheDatabasesConfirmThePrimary) {
+  // Without this rule reads are refused while all control replicas are down; 1,787 refusals were seen.
   agent_.lease = false;
   for (const char* route : {"writes", "board", "own"}) {
     CallerSession session(services_, route);
@@ -196,11 +198,11 @@
   EXPECT_FALSE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, WhatTheDatabasesShowedBeforeAReadWasAskedForDoesNotServeIt) {
+TEST_F(CallerSessionTest, APrimaryConfirmedBeforeAReadArrivedIsNotTrustedForIt) {
   agent_.lease = false;
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
-  silence_replicas();
+  stop_replica_status();
   pipitpond::testing::run_until(
       io_, [] { return false; }, milliseconds(50));
   EXPECT_EQ(run(session, example_statement(StatementKind::kRead)).failure->code, FailureCode::kBusy);
@@ -214,7 +216,7 @@
   EXPECT_TRUE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, TheDatabasesWordDoesNotCountWhereNoReceiptIsAsked) {
+TEST_F(CallerSessionTest, WithoutSyncReplicasTheDatabasesCannotConfirmThePrimary) {
   protocol::Configuration configuration = agent_.configuration();
   configuration.groups.begin()->second.sync_replicas = 0;
   agent_.set_configuration(configuration);
@@ -225,7 +227,7 @@
 }
 
 TEST_F(CallerSessionTest, WithoutALeaseAnAcknowledgedWriteGivesAPosition) {
-  // Bench, kcbu-counts trouble-1: proxies cut off from control refused bounded reads for 6 s.
+  // Without this rule a proxy that cannot reach control refuses bounded reads; seen for 6 s.
   agent_.lease = false;
   CallerSession writer(services_, "writes");
   ASSERT_FALSE(run(writer, example_statement(StatementKind::kWrite, "thing data")).failure);
@@ -257,7 +259,7 @@
   EXPECT_EQ(known_since(begun), connector_.database("a").position);
 }
 
-TEST_F(CallerSessionTest, WithoutALeaseAWriteGivesNoPositionWhereNoReceiptIsAsked) {
+TEST_F(CallerSessionTest, WithoutALeaseAndWithoutSyncReplicasAWriteGivesNoPosition) {
   protocol::Configuration configuration = agent_.configuration();
   configuration.groups.begin()->second.sync_replicas = 0;
   agent_.set_configuration(configuration);
@@ -288,10 +290,10 @@
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
 }
 
-// --- What is known of failures
+// --- Failures and retries
 // ------------------------------------------------------------------------------------
 
-TEST_F(CallerSessionTest, AWriteWhoseAnswerIsLostIsUnsureAndNeverRepeated) {
+TEST_F(CallerSessionTest, AWriteWhoseAnswerIsLostHasAnUnknownOutcomeAndIsNeverRepeated) {
   connector_.database("a").break_after_running = true;
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -300,14 +302,14 @@
   EXPECT_EQ(ran("a").size(), 1U);
 }
 
-TEST_F(CallerSessionTest, AWriteThatWasNotRunIsTriedAgain) {
+TEST_F(CallerSessionTest, AWriteThatWasNotRunIsRetried) {
   connector_.database("a").next_failures = {FailureCode::kBusy, FailureCode::kBusy};
   CallerSession session(services_, "writes");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kWrite, "thing data")).failure);
   EXPECT_EQ(ran("a").size(), 1U);
 }
 
-TEST_F(CallerSessionTest, AWriteThatRanAndFailedIsNotTriedAgain) {
+TEST_F(CallerSessionTest, AWriteThatRanAndFailedIsNotRetried) {
   connector_.database("a").next_failures = {FailureCode::kFailed};
   CallerSession session(services_, "writes");
   const StatementReply reply = run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -316,17 +318,17 @@
   EXPECT_TRUE(ran("a").empty());
 }
 
-TEST_F(CallerSessionTest, AReadWhoseAnswerIsLostIsReadElsewhere) {
+TEST_F(CallerSessionTest, AReadWhoseAnswerIsLostIsRetriedAtAnotherDatabase) {
   learn_position();
   connector_.database("b").break_after_running = true;
   CallerSession session(services_, "board");
   EXPECT_FALSE(run(session, example_statement(StatementKind::kRead)).failure);
   EXPECT_EQ(ran("b").size(), 1U);
   EXPECT_EQ(ran("a").size() + ran("c").size(), 2U)
-      << "the first read of the position, and the second attempt";
+      << "the read that fetched the position, and the second attempt";
 }
 
-TEST_F(CallerSessionTest, WithoutAPrimaryAWriteIsGivenUpEarlyAndTellsWhenToComeBack) {
+TEST_F(CallerSessionTest, WithoutAPrimaryAWriteIsGivenUpEarlyAndSaysWhenToRetry) {
   change_primary("");
   CallerSession session(services_, "writes");
   const core::Instant before = core::BootClock::now();
@@ -367,8 +369,8 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, AStatementOfATransactionThatAFullDatabaseDidNotRunIsTriedAgain) {
-  // Bench, kcbu-counts scale-2: 227 transactions were lost in 6 s to a primary without a free slot.
+TEST_F(CallerSessionTest, AStatementInATransactionIsRetriedIfTheDatabaseHadNoFreeSlot) {
+  // Without a retry, a primary that briefly has no free slot aborts open transactions; 227 in 6 s were seen.
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   connector_.database("a").next_failures = {FailureCode::kBusy, FailureCode::kBusy};
@@ -379,7 +381,7 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, AStatementOfATransactionIsNotTriedForItsWholeTime) {
+TEST_F(CallerSessionTest, AStatementInATransactionIsNotRetriedForItsWholeTimeout) {
   CallerSession session(services_, "writes");
   ASSERT_FALSE(run(session, example_statement(StatementKind::kBegin, "")).failure);
   connector_.database("a").next_failures.assign(1000, FailureCode::kBusy);
@@ -390,7 +392,7 @@
   EXPECT_LT(core::BootClock::now() - begun, milliseconds(250));
 }
 
-TEST_F(CallerSessionTest, ACommitWhoseAnswerIsLostIsUnsure) {
+TEST_F(CallerSessionTest, ACommitWhoseAnswerIsLostHasAnUnknownOutcome) {
   CallerSession session(services_, "writes");
   run(session, example_statement(StatementKind::kBegin, ""));
   run(session, example_statement(StatementKind::kWrite, "thing data"));
@@ -414,7 +416,7 @@
   EXPECT_EQ(session.state(), TransactionState::kIdle);
 }
 
-TEST_F(CallerSessionTest, ATransactionWhoseCallerRestsTooLongIsEnded) {
+TEST_F(CallerSessionTest, AnIdleTransactionIsAborted) {
   CallerSession session(services_, "writes");
   run(session, example_statement(StatementKind::kBegin, ""));
   session.end_transaction_if_idle(core::BootClock::now());
@@ -426,7 +428,7 @@
   EXPECT_EQ(backends_.pools()[0]->in_use(), 0U);
 }
 
-TEST_F(CallerSessionTest, ASessionThatEndsInATransactionGivesNoOpenConnectionBack) {
+TEST_F(CallerSessionTest, ASessionThatEndsInATransactionClosesItsConnection) {
   {
     CallerSession session(services_, "writes");
     run(session, example_statement(StatementKind::kBegin, ""));
@@ -436,7 +438,7 @@
   EXPECT_EQ(ran("a").back().connection, 2);
 }
 
-// --- The session's own state
+// --- Session values and prepared statements
 // ----------------------------------------------------------------------------------------
 
 TEST_F(CallerSessionTest, SharedConnectionsTakeEachSessionsValues) {
@@ -452,7 +454,7 @@
   EXPECT_EQ(connector_.database("a").connections_opened, 1);
 }
 
-TEST_F(CallerSessionTest, AnUnknownPreparedNameIsRefusedHere) {
+TEST_F(CallerSessionTest, AnUnknownPreparedNameIsRefusedByTheProxy) {
   CallerSession session(services_, "writes");
   Statement executed = example_statement(StatementKind::kExecute);
   executed.name = "s1";
