--- a/src/pooling/backend_health.hpp
+++ b/src/pooling/backend_health.hpp
@@ -37,10 +37,10 @@
   /// The group's primary or term has changed: what was held against the database as a primary is void.
   void on_new_term();
 
-  /// True when a probe should be sent now; it counts as sent. Answer with on_probe.
+  /// True when a probe should be sent now; it counts as sent. Answer with on_probe_result.
   bool take_probe(core::Instant now);
   /// What came of the probe. `refused`: at once, which leaves less doubt than silence.
-  void on_probe(core::Instant now, bool answered, bool refused);
+  void on_probe_result(core::Instant now, bool answered, bool refused);
 
   /// False while the database is taken to be unreachable.
   [[nodiscard]] bool usable() const { return failures_ < kFailuresToGiveUp; }
@@ -79,6 +79,6 @@
 /// Between probes of one that is taken to be unreachable.
 inline constexpr core::Duration kUnreachableProbeInterval = std::chrono::milliseconds(400);
 /// A probe without an answer for this long has failed.
-inline constexpr core::Duration kDoubtProbeTimeout = std::chrono::milliseconds(250);
+inline constexpr core::Duration kSuspectProbeTimeout = std::chrono::milliseconds(250);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/backend_pool.cpp
+++ b/src/pooling/backend_pool.cpp
@@ -460,14 +460,14 @@
 
 /// On a connection of its own: an old one may hang although the database is well.
 awaitable<void> BackendPool::probe(std::shared_ptr<BackendPool> self) {
-  auto link = co_await self->connector_.connect(self->address_, kDoubtProbeTimeout);
+  auto link = co_await self->connector_.connect(self->address_, kSuspectProbeTimeout);
   bool answered = link.has_value();
   bool refused = false;
   if (!link) {
     answered = link.error().kind == core::ErrorKind::kOverloaded;
     refused = link.error().kind == core::ErrorKind::kConnectionRefused;
   }
-  self->health_.on_probe(core::BootClock::now(), answered, refused);
+  self->health_.on_probe_result(core::BootClock::now(), answered, refused);
   if (!self->health_.usable()) {
     self->cut_off_expendable();
   }
--- a/src/pooling/backends.hpp
+++ b/src/pooling/backends.hpp
@@ -15,7 +15,7 @@
 #include "core/clock.hpp"
 #include "pooling/backend_pool.hpp"
 #include "pooling/freshness.hpp"
-#include "pooling/primary_questions.hpp"
+#include "pooling/primary_proof_requests.hpp"
 #include "pooling/primary_rounds.hpp"
 #include "pooling/statement_forwarder.hpp"
 #include "pooling/statement_lease.hpp"
@@ -24,7 +24,7 @@
 namespace pipitpond::pooling {
 
 /// What a statement needs of a database.
-struct BackendNeed {
+struct BackendRequirement {
   bool primary = false;  ///< Writes, and reads that must see every write.
   /// Reads elsewhere: the log must reach this position. Empty: not known, so
   /// that only the primary will do.
@@ -53,16 +53,16 @@
   void close();
 
   /// The best database for a need; empty when none will do now.
-  [[nodiscard]] std::optional<BackendChoice> choose(const core::GroupName& group, const BackendNeed& need,
-                                                    core::Instant now) const;
+  [[nodiscard]] std::optional<BackendChoice> choose(const core::GroupName& group,
+                                                    const BackendRequirement& need, core::Instant now) const;
   /// A connection to the chosen database: one of this daemon's own, or where it owns none, one at an owner.
   /// Errors as BackendPool::acquire.
   boost::asio::awaitable<core::Result<std::unique_ptr<StatementLease>>> acquire(BackendChoice choice,
                                                                                 ConnectionRequest request);
   /// True when the database that was chosen as a primary surely still is: no
   /// newer term is known here, and control's lease was valid until `now`.
-  [[nodiscard]] bool surely_primary(const core::GroupName& group, const BackendChoice& choice,
-                                    core::Instant now) const;
+  [[nodiscard]] bool is_certain_primary(const core::GroupName& group, const BackendChoice& choice,
+                                        core::Instant now) const;
   /// True for the group's primary by the newest configuration.
   [[nodiscard]] bool is_primary(const core::GroupName& group, const core::DatabaseId& database) const;
   /// The position that a log needs for reads that may be `staleness` old.
@@ -86,33 +86,33 @@
   /// Of 291 daemons each serves a group so rarely (every 2 s) that what it learned from the primary is too
   /// old for its next read, which would go to the primary again: positions of the few owners, which see all
   /// of its answers, let replicas serve it.
-  boost::asio::awaitable<void> ask_position(core::GroupName group, core::Duration staleness);
+  boost::asio::awaitable<void> request_position(core::GroupName group, core::Duration staleness);
   /// True while an owner owes such an answer.
   [[nodiscard]] bool awaits_position(const core::GroupName& group) const;
   /// What this daemon, as an owner, tells others that ask.
   [[nodiscard]] PositionReply known_positions(const PositionRequest& request, core::Instant now) const;
   /// The database as the configuration in force has it; empty when it is unknown.
-  [[nodiscard]] std::optional<BackendChoice> as_chosen(const core::DatabaseId& database) const;
+  [[nodiscard]] std::optional<BackendChoice> choice_for(const core::DatabaseId& database) const;
 
   /// True when a read may go to the primary because no position is known that
   /// it could be served with elsewhere. One read in kSeekInterval is enough:
   /// its answer gives a position for all others.
-  bool take_position_seek(const core::GroupName& group, core::Instant now);
+  bool begin_position_refresh(const core::GroupName& group, core::Instant now);
   /// False while control's lease is missing: no answer of a primary is certain by itself then.
-  [[nodiscard]] bool may_trust_primaries(core::Instant now) const { return agent_.lease_valid(now); }
+  [[nodiscard]] bool has_control_lease(core::Instant now) const { return agent_.lease_valid(now); }
   /// Asks the group's databases to show who the primary is, for want of control's lease: by an owner of the
   /// primary, or by itself where this daemon is one or no owner can tell. For a read that came at `moment`.
   /// See PrimaryProof.
-  void ask_databases(const core::GroupName& group, core::Instant moment, core::Instant now);
+  void request_primary_proof(const core::GroupName& group, core::Instant moment, core::Instant now);
   /// What this daemon, as an owner, shows to others that ask. Fails with kUnavailable when the databases
   /// don't show the primary in time.
   boost::asio::awaitable<core::Result<ShownPrimaryReply>> show_primary(ShownPrimaryRequest request);
   /// True when the databases have shown, by answers to questions sent at or after `moment`, that the log of
   /// the group's primary holds every write acknowledged before it.
-  [[nodiscard]] bool primary_shown_since(const core::GroupName& group, core::Instant moment) const;
+  [[nodiscard]] bool primary_proven_since(const core::GroupName& group, core::Instant moment) const;
   /// The last moment at which some group's primary was shown by its databases; the clock's epoch when none
   /// was.
-  [[nodiscard]] core::Instant last_shown_primary() const { return last_shown_; }
+  [[nodiscard]] core::Instant last_primary_proof() const { return last_shown_; }
   [[nodiscard]] const QuestionCounters& primary_questions() const { return questions_.counters(); }
   [[nodiscard]] const RoundCounters& rounds() const { return rounds_.counters(); }
 
@@ -165,9 +165,11 @@
   void report_suspicions(core::Instant now);
   void log_suspicions(const std::map<core::DatabaseId, protocol::Suspicion>& suspicions);
   [[nodiscard]] const GroupView* find(const core::GroupName& group) const;
-  [[nodiscard]] std::optional<BackendChoice> choose_for_read(const GroupView& view, const BackendNeed& need,
+  [[nodiscard]] std::optional<BackendChoice> choose_for_read(const GroupView& view,
+                                                             const BackendRequirement& need,
                                                              core::Instant now) const;
-  [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view, const BackendNeed& need,
+  [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view,
+                                                            const BackendRequirement& need,
                                                             core::Instant now) const;
   /// Another owner of the database may have a connection to it.
   [[nodiscard]] bool others_serve(const BackendPool& pool, core::Instant now) const;
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -122,15 +122,15 @@
   void log_transaction_failure(const Statement& statement, core::Instant sent, const TransactionPlace& place,
                                TraceEvent event, const StatementReply& reply) const;
   std::optional<PendingStatement> begin_statement(Statement statement) const;
-  [[nodiscard]] BackendNeed need_of(const PendingStatement& pending, core::Instant now) const;
+  [[nodiscard]] BackendRequirement need_of(const PendingStatement& pending, core::Instant now) const;
   /// True for a read that only the primary can serve, because no log position is known to require of a
   /// replica.
-  [[nodiscard]] static bool lacks_position(const PendingStatement& pending, const BackendNeed& need);
+  [[nodiscard]] static bool lacks_position(const PendingStatement& pending, const BackendRequirement& need);
   /// Why a read must not be sent to any database yet; null if it may.
-  [[nodiscard]] const char* reason_to_wait(const PendingStatement& pending, const BackendNeed& need,
+  [[nodiscard]] const char* reason_to_wait(const PendingStatement& pending, const BackendRequirement& need,
                                            core::Instant now);
   [[nodiscard]] bool is_proven_fresh(const PendingStatement& pending, const BackendChoice& choice,
-                                     const BackendNeed& need, core::Instant now) const;
+                                     const BackendRequirement& need, core::Instant now) const;
   [[nodiscard]] ConnectionRequest connection_request(const PendingStatement& pending) const;
   boost::asio::awaitable<std::optional<StatementReply>> attempt(PendingStatement& pending);
   boost::asio::awaitable<std::optional<StatementReply>> attempt_at(PendingStatement& pending,
--- a/src/pooling/caller_session_routing.cpp
+++ b/src/pooling/caller_session_routing.cpp
@@ -121,8 +121,8 @@
   return failed_reply(failure.code, failure.text, TransactionState::kIdle);
 }
 
-BackendNeed CallerSession::need_of(const PendingStatement& pending, core::Instant now) const {
-  BackendNeed need;
+BackendRequirement CallerSession::need_of(const PendingStatement& pending, core::Instant now) const {
+  BackendRequirement need;
   need.primary = pending.needs_primary;
   need.avoided = pending.avoided;
   if (pending.route.kind == protocol::RouteKind::kPrimary) {
@@ -138,30 +138,30 @@
   return need;
 }
 
-bool CallerSession::lacks_position(const PendingStatement& pending, const BackendNeed& need) {
+bool CallerSession::lacks_position(const PendingStatement& pending, const BackendRequirement& need) {
   return !need.primary && !need.after && !may_write(pending.statement);
 }
 
 /// Without a known position, only the primary can serve a read or begin a transaction. One such read at a
 /// time fetches the position for all. Without a lease from control the primary may have been replaced, so the
 /// databases are first asked which of them is the primary.
-const char* CallerSession::reason_to_wait(const PendingStatement& pending, const BackendNeed& need,
+const char* CallerSession::reason_to_wait(const PendingStatement& pending, const BackendRequirement& need,
                                           core::Instant now) {
   if (may_write(pending.statement) || need.after) {
     return nullptr;
   }
   const core::GroupName& group = pending.route.group;
-  if (services_.backends.primary_shown_since(group, pending.started)) {
+  if (services_.backends.primary_proven_since(group, pending.started)) {
     return nullptr;
   }
-  if (!services_.backends.may_trust_primaries(now)) {
-    services_.backends.ask_databases(group, pending.started, now);
+  if (!services_.backends.has_control_lease(now)) {
+    services_.backends.request_primary_proof(group, pending.started, now);
     return "the primary is not certain";
   }
   if (!need.primary && services_.backends.awaits_position(group)) {
     return "an owner was asked for the primary's position";
   }
-  if (!need.primary && !services_.backends.take_position_seek(group, now)) {
+  if (!need.primary && !services_.backends.begin_position_refresh(group, now)) {
     return "another read asks for the primary's position";
   }
   return nullptr;
@@ -181,14 +181,14 @@
 
 awaitable<std::optional<StatementReply>> CallerSession::attempt(PendingStatement& pending) {
   if (lacks_position(pending, need_of(pending, core::BootClock::now() + pending.max_connection_wait))) {
-    co_await services_.backends.ask_position(pending.route.group,
-                                             std::chrono::milliseconds(pending.route.max_staleness_ms));
+    co_await services_.backends.request_position(pending.route.group,
+                                                 std::chrono::milliseconds(pending.route.max_staleness_ms));
   }
   const core::Instant now = core::BootClock::now();
   if (auto refusal = check_caller_key(pending)) {
     co_return refusal;  // The statement may have waited for long since it was admitted.
   }
-  const BackendNeed need = need_of(pending, now + pending.max_connection_wait);
+  const BackendRequirement need = need_of(pending, now + pending.max_connection_wait);
   if (const char* reason = reason_to_wait(pending, need, now)) {
     pending.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
     pending.last_failure = Failure{FailureCode::kBusy, reason};
@@ -224,7 +224,7 @@
   if (auto refusal = check_caller_key(pending)) {
     co_return refusal;
   }
-  const BackendNeed need = need_of(pending, sent + lease->max_connection_wait());
+  const BackendRequirement need = need_of(pending, sent + lease->max_connection_wait());
   if (!choice.is_primary && lacks_position(pending, need)) {
     // A replica's answer would not be provably recent. The next attempt allows for such a wait.
     pending.max_connection_wait = lease->max_connection_wait();
@@ -273,13 +273,13 @@
 /// write only the primary qualifies, as confirmed by control's lease or by the databases after the read
 /// arrived.
 bool CallerSession::is_proven_fresh(const PendingStatement& pending, const BackendChoice& choice,
-                                    const BackendNeed& need, core::Instant now) const {
+                                    const BackendRequirement& need, core::Instant now) const {
   const bool by_position = pending.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
   const Backends& backends = services_.backends;
   const core::GroupName& group = pending.route.group;
   const bool confirmed = choice.is_primary && backends.is_primary(group, choice.pool->address().database) &&
-                         backends.primary_shown_since(group, pending.started);
-  return by_position || confirmed || backends.surely_primary(group, choice, now);
+                         backends.primary_proven_since(group, pending.started);
+  return by_position || confirmed || backends.is_certain_primary(group, choice, now);
 }
 
 std::optional<StatementReply> CallerSession::on_attempt_lost(PendingStatement& pending,
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -150,7 +150,7 @@
   auto held = std::make_shared<HeldTransaction>();
   held->peer = peer;
   held->lease.reset(new ConnectionLease(std::move(lease.value())));
-  held->choice = backends_.as_chosen(forwarded.database);
+  held->choice = backends_.choice_for(forwarded.database);
   co_return co_await run_in_transaction(std::move(held), std::move(forwarded));
 }
 
@@ -166,7 +166,7 @@
   held->running = false;
   held->last_statement_ended_at = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
-    // Other daemons ask this one for positions: see Backends::ask_position.
+    // Other daemons ask this one for positions: see Backends::request_position.
     const core::GroupName& group = held->choice->pool->address().group;
     backends_.note_position(group, *held->choice, sent, held->last_statement_ended_at, *ran.value().position);
   }
--- a/src/pooling/owner_preference.cpp
+++ b/src/pooling/owner_preference.cpp
@@ -11,7 +11,7 @@
 constexpr int kAtTheDatabase = 1;
 constexpr int kElsewhere = 2;
 
-int distance_of(const OwnerCandidate& owner, const OwnerQuestion& question) {
+int distance_of(const OwnerCandidate& owner, const OwnerQuery& question) {
   if (*owner.zone == question.from) {
     return kNear;
   }
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& question) {
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuery& question) {
   const int distance = distance_of(owner, question);
   if (question.tenant.empty()) {
     return OwnerRank{distance, owner.outstanding, owner.preference};
--- a/src/pooling/owner_preference.hpp
+++ b/src/pooling/owner_preference.hpp
@@ -18,7 +18,7 @@
 };
 
 /// For whom, and from where to where.
-struct OwnerQuestion {
+struct OwnerQuery {
   const core::TenantName& tenant;  ///< Empty: nobody in particular.
   const core::ZoneName& from;
   const core::ZoneName& database;
@@ -44,6 +44,6 @@
 /// few connections there live on: with 84 tenants, 8 owners of 6 connections and each daemon's own choice,
 /// 85% of the requests opened a connection, 64% so. Without a tenant each daemon prefers another owner, so
 /// that all share the work: in the owners' own order the daemons of a zone would all ask the same one.
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& question);
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuery& question);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/primary_questions.hpp
+++ b/src/pooling/primary_questions.hpp
@@ -78,7 +78,7 @@
 /// An owner answers within this time: a round under way may have to end before the one that counts begins.
 inline constexpr core::Duration kOwnersProofTimeout = std::chrono::milliseconds(120);
 /// What the way to an owner and back may add: as for positions.
-inline constexpr core::Duration kProofWay = std::chrono::milliseconds(40);
+inline constexpr core::Duration kProofRoundTripAllowance = std::chrono::milliseconds(40);
 /// Owners that one question is put to.
 inline constexpr std::size_t kOwnersAskedForProof = 2;
 /// After a question that no owner answered, this daemon asks the databases itself for this long.
--- a/tests/pooling/statement_forward_test.cpp
+++ b/tests/pooling/statement_forward_test.cpp
@@ -195,7 +195,7 @@
 TEST_F(StatementForwardTest, NoReplicaIsAskedWithAPositionThatIsTooOldAfterTheLongestWait) {
   // The statement may queue for 180 ms at an owner. A position that satisfies the staleness bound of 1,500 ms
   // now may not satisfy it then, and a replica's answer without a required position is not provably recent.
-  const auto primary = forwarding_.backends.as_chosen(core::DatabaseId("a"));
+  const auto primary = forwarding_.backends.choice_for(core::DatabaseId("a"));
   const core::Instant now = core::BootClock::now();
   forwarding_.backends.note_position(core::GroupName("g"), *primary, now - milliseconds(1400), now, {1, 1});
   CallerSession reader(forwarding_.services, "board");
@@ -213,7 +213,7 @@
   EXPECT_TRUE(owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions.empty());
   EXPECT_TRUE(
       owner_.backends.known_positions(PositionRequest{core::GroupName("x"), 1000}, now).positions.empty());
-  const auto primary = owner_.backends.as_chosen(core::DatabaseId("a"));
+  const auto primary = owner_.backends.choice_for(core::DatabaseId("a"));
   ASSERT_TRUE(primary && primary->is_primary);
   owner_.backends.note_position(group, *primary, now - milliseconds(800), now, {1, 5});
   owner_.backends.note_position(group, *primary, now - milliseconds(200), now, {1, 9});
@@ -372,8 +372,8 @@
   }
   forwarding_.apply(two_owners);
   slow_refusal_ = true;
-  const auto choice =
-      forwarding_.backends.choose(core::GroupName("g"), BackendNeed{true, {}, {}}, core::BootClock::now());
+  const auto choice = forwarding_.backends.choose(core::GroupName("g"), BackendRequirement{true, {}, {}},
+                                                  core::BootClock::now());
   ASSERT_TRUE(choice);
   const ConnectionRequest request{1, core::BootClock::now() + milliseconds(500), nullptr};
   auto lease = pipitpond::testing::run(io_, forwarding_.backends.acquire(*choice, request));
