--- a/src/pooling/backend_health.cpp
+++ b/src/pooling/backend_health.cpp
@@ -79,7 +79,7 @@
     return;
   }
   doubted_ = true;
-  // Statements and a probe without an answer are as much as two probes.
+  // A probe that times out while statements get no reply either counts as two failed probes.
   const bool certain = refused || (probed_for_silence_ && silent(now));
   failures_ += certain ? kFailuresToGiveUp : 1;
 }
--- a/src/pooling/backend_health.hpp
+++ b/src/pooling/backend_health.hpp
@@ -1,5 +1,6 @@
-// A daemon's judgement of one database, from the answers that its traffic gets and from probes that it sends
-// only in doubt. No input or output: the driver reports what happens and sends a probe when asked to.
+// Failure detection for one database, based on the replies to regular statements and on probes that are sent
+// only when the database is suspected. Performs no I/O: the caller reports events and sends a probe when
+// asked to.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +12,41 @@
 
 namespace pipitpond::pooling {
 
-/// Names a batch that is under way.
+/// Identifies a batch in flight.
 using BatchNumber = std::uint64_t;
 
-/// A database that owes an answer and has said nothing for this long is doubted.
+/// A database with a batch in flight that has sent no reply for this long is suspected and probed.
 inline constexpr core::Duration kDoubtAfterSilence = std::chrono::milliseconds(300);
 
-/// Watches one database, or another daemon that stands between it and this one.
+/// Tracks the health of one database, or of another daemon that forwards statements to it.
 class BackendHealth {
  public:
   explicit BackendHealth(core::Duration doubt_after_silence = kDoubtAfterSilence)
       : doubt_after_silence_(doubt_after_silence) {}
 
-  /// A batch leaves for the database. `writes`: its answer waits for a replica's receipt.
+  /// A batch was sent. `writes`: its reply waits for a replica to acknowledge the write.
   BatchNumber on_sent(core::Instant now, bool writes);
-  /// Its answer came.
+  /// The reply to the batch arrived.
   void on_answered(core::Instant now, BatchNumber batch);
-  /// It will get no answer: the connection broke, or nobody waits any longer.
+  /// The batch will get no reply: the connection broke, or the caller stopped waiting.
   void on_abandoned(core::Instant now, BatchNumber batch, bool connection_broke);
 
   void on_connected(core::Instant now);
   void on_connect_failed(core::Instant now);
-  /// A write was refused because the database says that it is no primary.
+  /// The database refused a write because it is not the primary.
   void on_refused_write() { not_primary_ = true; }
-  /// The group's primary or term has changed: what was held against the database as a primary is void.
+  /// The group's primary or term has changed: clears the suspicions that concern the database as a primary.
   void on_new_term();
 
-  /// True when a probe should be sent now; it counts as sent. Answer with on_probe.
+  /// True when a probe is due now. It then counts as sent, and its result must be passed to on_probe.
   bool take_probe(core::Instant now);
-  /// What came of the probe. `refused`: at once, which leaves less doubt than silence.
+  /// The result of the probe. `refused`: the connection was refused at once, which is stronger evidence of a
+  /// failure than a missing reply.
   void on_probe(core::Instant now, bool answered, bool refused);
 
-  /// False while the database is taken to be unreachable.
+  /// False while the database is considered unreachable.
   [[nodiscard]] bool usable() const { return failures_ < kFailuresToGiveUp; }
-  /// What to tell control, if anything. `primary`: the database is the group's primary.
+  /// The suspicion to report to control, if any. `primary`: the database is the group's primary.
   [[nodiscard]] std::optional<protocol::Suspicion> suspicion(core::Instant now, bool primary) const;
 
  private:
@@ -66,19 +68,20 @@
   bool doubted_ = false;
   std::uint32_t failures_ = 0;
   bool probing_ = false;
-  bool probed_for_silence_ = false;  ///< The probe under way was sent because an answer is overdue.
+  bool probed_for_silence_ = false;  ///< The probe in flight was sent because a reply is overdue.
   core::Instant next_probe_{};
   bool not_primary_ = false;
-  bool write_given_up_ = false;  ///< The last write or commit got no answer, although others did.
+  bool write_given_up_ = false;  ///< The last write or commit timed out on an unbroken connection.
 };
 
-/// A write that has waited this long, while other answers came, waits for a receipt that is not coming.
+/// A write without a reply for this long, while the database replies to other statements, is taken to wait
+/// for a replica's acknowledgement that will not come.
 inline constexpr core::Duration kReceiptOverdue = std::chrono::milliseconds(500);
-/// Between probes of a database in doubt.
+/// Between probes of a suspected database.
 inline constexpr core::Duration kDoubtProbeInterval = std::chrono::milliseconds(200);
-/// Between probes of one that is taken to be unreachable.
+/// Between probes of a database that is considered unreachable.
 inline constexpr core::Duration kUnreachableProbeInterval = std::chrono::milliseconds(400);
-/// A probe without an answer for this long has failed.
+/// A probe without a reply for this long has failed.
 inline constexpr core::Duration kDoubtProbeTimeout = std::chrono::milliseconds(250);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/backend_pool.cpp
+++ b/src/pooling/backend_pool.cpp
@@ -18,23 +18,25 @@
 namespace {
 
 constexpr core::Duration kConnectTimeout = std::chrono::milliseconds(500);
-/// After a connection could not be opened, none is tried for this long.
+/// Delay before the next attempt after a connection could not be opened.
 constexpr core::Duration kOpenPause = std::chrono::milliseconds(50);
-/// A new database is expected to be this quick.
+/// Assumed latency of a database before the first reply.
 constexpr core::Duration kFirstLatency = std::chrono::milliseconds(10);
-/// Weight of the newest latency in the average: one part in so many.
+/// Divisor of the moving averages, which is the inverse weight of the newest value.
 constexpr int kLatencyWeight = 8;
-/// With each tick without an answer, one part in so many of what was learned is forgotten: half of it in 1.1
-/// s at a tick of 50 ms. The time is a guess; no other was measured.
+/// Divisor of the decay of the average latency towards its initial value in each tick without a reply: half
+/// of the difference is gone after 1.1 s at a tick of 50 ms.
 constexpr int kForgottenPart = 32;
-/// A borrowed connection stays open for this long after its last use, less where others are refused one.
+/// Bounds of the idle time after which a connection beyond `kept` is closed; the time shrinks while the
+/// database refuses new connections.
 constexpr core::Duration kBorrowedIdleMax = std::chrono::milliseconds(1000);
 constexpr core::Duration kBorrowedIdleMin = std::chrono::milliseconds(20);
-/// How much longer it may stay after an opening that was not refused.
+/// Added to that idle time with each connection that is opened successfully.
 constexpr core::Duration kBorrowedIdleStep = std::chrono::milliseconds(10);
 
 core::Error line_full_error() {
-  return core::Error{core::ErrorKind::kNoCapacity, "Too many wait for a connection to the database.",
+  return core::Error{core::ErrorKind::kNoCapacity,
+                     "Too many statements wait for a connection to the database.",
                      "Try again a little later.", 100};
 }
 
@@ -53,7 +55,7 @@
   core::Instant goal;
   const SessionState* session = nullptr;
   std::optional<core::TenantName> tenant;
-  bool counted_as_waiting = false;  ///< In PoolCounters::waited_instead.
+  bool counted_as_waiting = false;  ///< Already counted in PoolCounters::waited_instead.
   boost::asio::steady_timer timer;
   std::unique_ptr<PooledConnection> connection;
   std::optional<core::Error> error;
@@ -107,7 +109,7 @@
                          "Choose another one, or try again.");
   }
   const std::shared_ptr<PoolWaiter> waiter = pool->join_line(request);
-  pool->serve_waiters();  // Those before it may wait for connections of other tenants.
+  pool->serve_waiters();  // Waiters ahead of it may need connections of other tenants.
   if (!waiter->connection && !waiter->error) {
     waiter->timer.expires_after(std::max(core::Duration::zero(), request.deadline - core::BootClock::now()));
     boost::system::error_code ignored;
@@ -122,7 +124,8 @@
     co_return *waiter->error;
   }
   ++pool->counters_.waited_in_vain;
-  co_return core::fail(core::ErrorKind::kNoCapacity, "No connection to the database came free in time.",
+  co_return core::fail(core::ErrorKind::kNoCapacity,
+                       "No connection to the database became free before the deadline.",
                        "Try again a little later.", 100);
 }
 
@@ -160,7 +163,8 @@
   waiters_.erase(found);
 }
 
-/// Of what a statement's start was charged, the rest; a transaction's later statements are charged whole.
+/// Charges the tenant for the slot time beyond what was charged when the connection was handed out. Later
+/// statements of a transaction are charged in full.
 void BackendPool::note_slot_time(PooledConnection& connection, core::Duration taken) {
   const core::Duration charged = std::exchange(connection.charged, core::Duration::zero());
   line_.note_used(connection.tenant, taken - charged);
@@ -277,7 +281,8 @@
   boost::asio::co_spawn(io_, open_one(shared_from_this(), std::move(tenant)), boost::asio::detached);
 }
 
-/// One after the other and slowly: an opening takes a slot of the database from statements.
+/// Opens connections ahead of demand one at a time and slowly: opening one takes a slot of the database from
+/// statements.
 void BackendPool::open_ahead(core::Instant now) {
   const bool warms_up = share_.warm_up_interval > core::Duration::zero();
   const bool wanted = warms_up && health_.usable() && opening_ == 0 && held() < share_.kept;
@@ -330,14 +335,14 @@
   } else {
     health_.on_connect_failed(core::BootClock::now());
   }
-  // Those that wait may get a connection that is in use; without one there is nothing to wait for.
+  // Waiters may still get a connection that is in use; without one there is nothing to wait for.
   if (in_use_.empty() && opening_ == 0) {
     fail_waiters(error);
   }
 }
 
-/// All connections of the database are taken. Other daemons meet the same refusals, so that all of them give
-/// idle connections back sooner.
+/// The database has reached its connection limit. Other daemons see the same refusals, so all of them close
+/// idle connections sooner.
 void BackendPool::note_refused_opening() {
   borrowed_idle_limit_ = std::max(kBorrowedIdleMin, borrowed_idle_limit_ / 2);
 }
@@ -381,7 +386,7 @@
   serve_waiters();
 }
 
-/// Openings under way are for some of those that wait.
+/// Ignores connections being opened: they are meant for some of the waiters.
 bool BackendPool::may_hand_out() const {
   StatementsUnderWay counted = under_way();
   counted.opening = 0;
@@ -432,7 +437,6 @@
 }
 
 // --- Probes
-// ----------------------------------------------------------------------------------------------------
 
 void BackendPool::tick(core::Instant now) {
   if (closed_) {
@@ -449,8 +453,8 @@
   open_ahead(now);
 }
 
-/// A database that was slow is asked by nobody who remembers it, so that nobody would learn that it is well
-/// again.
+/// Lets the average latency decay while there are no replies. Otherwise no caller would choose a database
+/// that was once slow, and its recovery would go unnoticed.
 void BackendPool::forget_latency() {
   if (!latency_noted_) {
     usual_latency_ -= (usual_latency_ - kFirstLatency) / kForgottenPart;
@@ -458,7 +462,7 @@
   latency_noted_ = false;
 }
 
-/// On a connection of its own: an old one may hang although the database is well.
+/// Uses a new connection: an existing one may hang although the database is healthy.
 awaitable<void> BackendPool::probe(std::shared_ptr<BackendPool> self) {
   auto link = co_await self->connector_.connect(self->address_, kDoubtProbeTimeout);
   bool answered = link.has_value();
--- a/src/pooling/backends.cpp
+++ b/src/pooling/backends.cpp
@@ -22,8 +22,7 @@
       [this](const core::GroupName& group, const ShownPrimary& shown) { rounds_.note_told(group, shown); });
 }
 
-// --- The configuration
-// -----------------------------------------------------------------------------------------
+// --- Configuration
 
 void Backends::apply(const protocol::Configuration& configuration) {
   if (closed_) {
@@ -105,8 +104,7 @@
   report_suspicions(now);
 }
 
-// --- What is known
-// ---------------------------------------------------------------------------------------------
+// --- Lookups
 
 const Backends::GroupView* Backends::find(const core::GroupName& group) const {
   const auto found = groups_.find(group);
--- a/src/pooling/backends.hpp
+++ b/src/pooling/backends.hpp
@@ -1,6 +1,5 @@
-// All databases as one proxy daemon sees them: which group has which, who is
-// the primary, how fresh a log must be, and where a statement is best run.
-// Follows the configuration that control sends.
+// A proxy daemon's view of all databases: the members of each group, its primary, the log position that a
+// read needs, and the best database for a statement. Follows the configuration that control sends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,104 +22,102 @@
 
 namespace pipitpond::pooling {
 
-/// What a statement needs of a database.
+/// The requirements of a statement on the database that runs it.
 struct BackendNeed {
-  bool primary = false;  ///< Writes, and reads that must see every write.
-  /// Reads elsewhere: the log must reach this position. Empty: not known, so
-  /// that only the primary will do.
+  bool primary = false;  ///< Set for writes, and for reads that must see every acknowledged write.
+  /// For reads at other databases: the position that the log must reach. Empty: not known, so that only the
+  /// primary can serve the read.
   std::optional<core::LogPosition> after;
-  std::set<core::DatabaseId> avoided;  ///< Failed for this statement before.
+  std::set<core::DatabaseId> avoided;  ///< Databases at which this statement has failed before.
 };
 
 /// A database chosen for a statement.
 struct BackendChoice {
   std::shared_ptr<BackendPool> pool;
   bool is_primary = false;
-  core::Term term = 0;  ///< Of the group, when it was chosen.
+  core::Term term = 0;  ///< Term of the group at the time of the choice.
 };
 
-/// The directory of databases.
+/// The directory of all databases, with the connection pool of each.
 class Backends {
  public:
   Backends(boost::asio::io_context& io, BackendConnector& connector, agent::Agent& agent, core::DaemonId self,
            core::ZoneName zone);
 
-  /// A newer configuration is in force.
+  /// Applies a newer configuration.
   void apply(const protocol::Configuration& configuration);
-  /// Call every kBackendsTick: budgets, probes, what is to be told to control.
+  /// To be called every kBackendsTick: runs the pools' periodic work and reports suspicions to control.
   void tick(core::Instant now);
-  /// No further connections; those in use end with their statements.
+  /// Stops handing out connections. Those in use end with their statements.
   void close();
 
-  /// The best database for a need; empty when none will do now.
+  /// Returns the best database for a statement; empty when none can serve it now.
   [[nodiscard]] std::optional<BackendChoice> choose(const core::GroupName& group, const BackendNeed& need,
                                                     core::Instant now) const;
-  /// A connection to the chosen database: one of this daemon's own, or where it owns none, one at an owner.
-  /// Errors as BackendPool::acquire.
+  /// Acquires a connection to the chosen database: one of this daemon's own or, where another owner serves
+  /// the statement better or this daemon has none, one at another owner. Errors as BackendPool::acquire.
   boost::asio::awaitable<core::Result<std::unique_ptr<StatementLease>>> acquire(BackendChoice choice,
                                                                                 ConnectionRequest request);
-  /// True when the database that was chosen as a primary surely still is: no
-  /// newer term is known here, and control's lease was valid until `now`.
+  /// True when the database that was chosen as the primary is certain to be it still: this daemon knows no
+  /// newer term, and its lease from control was valid until `now`.
   [[nodiscard]] bool surely_primary(const core::GroupName& group, const BackendChoice& choice,
                                     core::Instant now) const;
-  /// True for the group's primary by the newest configuration.
+  /// True for the group's primary according to the newest configuration.
   [[nodiscard]] bool is_primary(const core::GroupName& group, const core::DatabaseId& database) const;
-  /// The position that a log needs for reads that may be `staleness` old.
+  /// The position that a log must have reached for a read that may be `staleness` old.
   [[nodiscard]] std::optional<core::LogPosition> position_for(const core::GroupName& group,
                                                               core::Duration staleness,
                                                               core::Instant now) const;
-  /// A database showed a position in answer to what was sent at `sent`. Counts
-  /// if it is surely the primary.
+  /// Records a position that a database reported in reply to a request sent at `sent`. Ignored unless the
+  /// database is certain to be the primary.
   void note_position(const core::GroupName& group, const BackendChoice& choice, core::Instant sent,
                      core::Instant now, const core::LogPosition& position);
-  /// The primary acknowledged a write that was sent at `sent`, and showed a
-  /// position. Counts without a lease too, where writes are acknowledged by a
-  /// replica's receipt.
+  /// Records the position with which the primary acknowledged a write sent at `sent`. Where a write is
+  /// acknowledged only after a replica has received it, this holds without a lease from control too.
   void note_acknowledged_write(const core::GroupName& group, const BackendChoice& choice, core::Instant sent,
                                const core::LogPosition& position);
 
-  /// For a read that may be `staleness` old and for which no position is known: asks an owner of the group's
-  /// primary for one, where this daemon owns no connection to it. Takes up to kPositionTimeout, and does
-  /// nothing while an answer is awaited or was of no use a moment ago.
+  /// For a read that may be `staleness` old and for which no position is known: requests one from an owner of
+  /// the group's primary, where this daemon owns no connection to the primary. Takes up to kPositionTimeout.
+  /// Does nothing while such a request is in flight, or when a recent one brought no usable reply.
   ///
-  /// Of 291 daemons each serves a group so rarely (every 2 s) that what it learned from the primary is too
-  /// old for its next read, which would go to the primary again: positions of the few owners, which see all
-  /// of its answers, let replicas serve it.
+  /// In a fleet of 291 daemons each serves a given group only about every 2 s. What a daemon has learned from
+  /// the primary is then too old for its next read, which would go to the primary again. The few owners see
+  /// all replies of the primary, and their positions let replicas serve such reads.
   boost::asio::awaitable<void> ask_position(core::GroupName group, core::Duration staleness);
-  /// True while an owner owes such an answer.
+  /// True while such a request is in flight.
   [[nodiscard]] bool awaits_position(const core::GroupName& group) const;
-  /// What this daemon, as an owner, tells others that ask.
+  /// The positions that this daemon, as an owner, returns to other daemons.
   [[nodiscard]] PositionReply known_positions(const PositionRequest& request, core::Instant now) const;
-  /// The database as the configuration in force has it; empty when it is unknown.
+  /// The choice of the given database under the current configuration; empty when the database is unknown.
   [[nodiscard]] std::optional<BackendChoice> as_chosen(const core::DatabaseId& database) const;
 
-  /// True when a read may go to the primary because no position is known that
-  /// it could be served with elsewhere. One read in kSeekInterval is enough:
-  /// its answer gives a position for all others.
+  /// True when a read may go to the primary because no position is known with which another database could
+  /// serve it. One read in kSeekInterval is enough: its reply gives a position for all others.
   bool take_position_seek(const core::GroupName& group, core::Instant now);
-  /// False while control's lease is missing: no answer of a primary is certain by itself then.
+  /// False while this daemon has no valid lease from control. A reply alone then does not prove that the
+  /// database is still the primary.
   [[nodiscard]] bool may_trust_primaries(core::Instant now) const { return agent_.lease_valid(now); }
-  /// Asks the group's databases to show who the primary is, for want of control's lease: by an owner of the
-  /// primary, or by itself where this daemon is one or no owner can tell. For a read that came at `moment`.
-  /// See PrimaryProof.
+  /// Without a lease from control: lets the group's databases prove which one is the primary, for a read that
+  /// arrived at `moment`. Asks an owner of the primary for a proof; asks the databases itself where this
+  /// daemon is an owner or no owner can answer. See PrimaryProof.
   void ask_databases(const core::GroupName& group, core::Instant moment, core::Instant now);
-  /// What this daemon, as an owner, shows to others that ask. Fails with kUnavailable when the databases
-  /// don't show the primary in time.
+  /// Obtains, as an owner, a proof of the primary for another daemon. Fails with kUnavailable when the
+  /// databases give none in time.
   boost::asio::awaitable<core::Result<ShownPrimaryReply>> show_primary(ShownPrimaryRequest request);
-  /// True when the databases have shown, by answers to questions sent at or after `moment`, that the log of
-  /// the group's primary holds every write acknowledged before it.
+  /// True when replies to status requests sent at or after `moment` prove that the log of the group's primary
+  /// holds every write acknowledged before `moment`.
   [[nodiscard]] bool primary_shown_since(const core::GroupName& group, core::Instant moment) const;
-  /// The last moment at which some group's primary was shown by its databases; the clock's epoch when none
-  /// was.
+  /// When the newest round that proved any group's primary began; the clock's epoch before the first.
   [[nodiscard]] core::Instant last_shown_primary() const { return last_shown_; }
   [[nodiscard]] const QuestionCounters& primary_questions() const { return questions_.counters(); }
   [[nodiscard]] const RoundCounters& rounds() const { return rounds_.counters(); }
 
-  /// How long the group has had no primary that this daemon can use and surely
-  /// knows; zero while it has one.
+  /// How long this daemon has had no primary of the group that is both reachable and certain; zero while it
+  /// has one.
   [[nodiscard]] core::Duration without_primary(const core::GroupName& group, core::Instant now) const;
 
-  /// Revision of the configuration in force.
+  /// Revision of the current configuration.
   [[nodiscard]] protocol::Revision revision() const { return agent_.configuration().revision; }
   [[nodiscard]] std::size_t connections() const;
   /// The pool of a database, or null.
@@ -138,12 +135,12 @@
 
   struct GroupView {
     std::map<core::DatabaseId, Member> members;
-    core::DatabaseId primary;  ///< Empty while it changes.
+    core::DatabaseId primary;  ///< Empty while a change of primary is in progress.
     core::Term term = 0;
-    bool acknowledges_by_receipt = false;  ///< A write is acknowledged once a replica has received it.
+    bool acknowledges_by_receipt = false;  ///< A write is acknowledged only after a replica has received it.
     PrimaryPositions positions;
-    std::optional<core::Instant> last_seek;  ///< When a read last went to the primary for a position.
-    bool position_asked = false;             ///< An owner of the primary owes an answer.
+    std::optional<core::Instant> last_seek;  ///< When a read last went to the primary to learn a position.
+    bool position_asked = false;             ///< A position request to an owner of the primary is in flight.
     core::Instant next_position_ask{};
     std::optional<core::Instant> without_primary_since;
   };
@@ -169,7 +166,7 @@
                                                              core::Instant now) const;
   [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view, const BackendNeed& need,
                                                             core::Instant now) const;
-  /// Another owner of the database may have a connection to it.
+  /// True when another owner of the database can be reached and may have a connection to it.
   [[nodiscard]] bool others_serve(const BackendPool& pool, core::Instant now) const;
   [[nodiscard]] bool should_pass_on(const BackendPool& pool, core::Instant now) const;
   [[nodiscard]] bool belongs_to_another(const BackendPool& pool, const ConnectionRequest& request,
@@ -186,25 +183,24 @@
   PrimaryQuestions questions_;
   core::Instant last_shown_{};
   std::map<core::GroupName, GroupView> groups_;
-  std::map<core::DatabaseId, protocol::Suspicion> suspicions_;  ///< As last told.
+  std::map<core::DatabaseId, protocol::Suspicion> suspicions_;  ///< As last logged.
   bool closed_ = false;
 };
 
-/// How often to call Backends::tick.
+/// Interval of calls to Backends::tick.
 inline constexpr core::Duration kBackendsTick = std::chrono::milliseconds(50);
-/// Between reads that go to a primary for want of a known position.
+/// Between reads that go to a primary because no position is known.
 inline constexpr core::Duration kSeekInterval = std::chrono::milliseconds(40);
-/// An owner's answer to a question for positions comes within two ways between zones, or is not worth waiting
-/// for.
+/// A reply to a position request takes at most two trips between zones; a later one is not worth waiting for.
 inline constexpr core::Duration kPositionTimeout = std::chrono::milliseconds(60);
-/// After an answer that was of no use, reads that go to the primary give this daemon positions of its own.
+/// After a request that brought no positions, none is sent for this long: reads that go to the primary teach
+/// this daemon positions meanwhile.
 inline constexpr core::Duration kPositionAskRest = std::chrono::milliseconds(250);
-/// A primary that its databases have shown this lately counts as known.
+/// A primary counts as known for this long after the round that proved it began.
 inline constexpr core::Duration kShownRecently = std::chrono::milliseconds(1000);
-/// What the way to another zone counts, in time of waiting: bytes between zones
-/// have a price.
+/// Cost of a database in another zone, as an equivalent wait: traffic between zones is charged for.
 inline constexpr core::Duration kOtherZoneCost = std::chrono::milliseconds(40);
-/// What a read at the primary counts, which writes need for themselves.
+/// Cost of a read at the primary, as an equivalent wait: the primary's capacity is needed for writes.
 inline constexpr core::Duration kPrimaryReadCost = std::chrono::milliseconds(10);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -1,4 +1,4 @@
-// Where a statement is best run, and the connection to run it on.
+// Chooses the database for a statement and acquires the connection to run it on.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -40,14 +40,15 @@
   return forwarder_.reaches(agent_.owner_table().owners(database), database, now);
 }
 
-/// Where this daemon owns no connections, or has none and can't get any now: the database is cut off from
-/// here, or counts the connections of machines that are gone.
+/// True when statements must go through another owner: this daemon owns no connections to the database, or
+/// has none and can't open one now, because it is partitioned from the database or because the database still
+/// counts connections of lost machines against its limit.
 bool Backends::should_pass_on(const BackendPool& pool, core::Instant now) const {
   const bool serves_itself = owns(agent_.owner_table().owners(pool.address().database)) && pool.can_serve();
   return !serves_itself && others_serve(pool, now);
 }
 
-/// A tenant's statements meet at one near owner, also those of other owners' callers.
+/// Statements of one tenant are directed to the same owner nearby, also those that arrive at other owners.
 bool Backends::belongs_to_another(const BackendPool& pool, const ConnectionRequest& request,
                                   core::Instant now) const {
   if (!request.tenant || request.tenant->empty()) {
@@ -73,7 +74,7 @@
       continue;
     }
     const core::Duration expected = cost(pool) + (is_primary ? kPrimaryReadCost : core::Duration::zero());
-    // Of databases that are alike each daemon prefers another one: the first in order would serve all.
+    // Breaks ties differently on each daemon. Otherwise all would read at the first database in order.
     const std::uint64_t preference = ownership::weight_of(self_, id);
     if (best == nullptr || std::tie(expected, preference) < std::tie(least, best_preference)) {
       best = member.pool;
--- a/src/pooling/backends_positions.cpp
+++ b/src/pooling/backends_positions.cpp
@@ -1,5 +1,5 @@
-// Who surely is the primary of a group, and the positions that it has shown: by control's lease, by the
-// databases themselves, or by way of an owner of the primary.
+// Determines which database is certain to be a group's primary, and which positions it has reported: by a
+// lease from control, by a proof from the databases, or through an owner of the primary.
 #include <algorithm>
 #include <utility>
 
@@ -41,11 +41,10 @@
   }
 }
 
-// A change of primary promotes nothing before it has stopped all databases of
-// the group but one from receiving or leading. A receipt therefore shows that
-// none was promoted when it was given, which was after `sent`. So all that was
-// acknowledged before `sent` is in the log of the one that acknowledged this
-// write.
+// A change of primary promotes no database before all databases of the group but one have stopped receiving
+// entries or leading. A replica's acknowledgement of this write, given after `sent`, therefore proves that
+// none had been promoted by then. So the log of the database that acknowledged the write holds all writes
+// acknowledged before `sent`.
 void Backends::note_acknowledged_write(const core::GroupName& group, const BackendChoice& choice,
                                        core::Instant sent, const core::LogPosition& position) {
   const auto found = groups_.find(group);
@@ -78,7 +77,7 @@
   return subject;
 }
 
-/// False when this daemon must ask the databases itself.
+/// Returns false when this daemon must ask the databases itself.
 bool Backends::ask_owners_of_primary(const core::GroupName& group, core::Instant moment, core::Instant now) {
   const GroupView& view = groups_.at(group);
   const std::shared_ptr<BackendPool>& pool = view.members.at(view.primary).pool;
@@ -103,8 +102,9 @@
   const auto shown = co_await rounds_.await_shown(request.group, subject, earliest, arrived + most);
   const GroupView* view = find(request.group);
   if (!shown || view == nullptr || shown->primary != view->primary) {
-    co_return core::fail(core::ErrorKind::kUnavailable, "The databases did not show the primary in time.",
-                         "Ask another owner, or the databases.");
+    co_return core::fail(core::ErrorKind::kUnavailable,
+                         "The databases did not prove which of them is the primary in time.",
+                         "Ask another owner, or the databases themselves.");
   }
   co_return told(*shown, view->term, arrived);
 }
@@ -163,7 +163,7 @@
     still->second.next_position_ask = core::BootClock::now() + kPositionAskRest;
     co_return;
   }
-  // Counted from before the question: the owner counted from a moment after it.
+  // Ages count from when the request was sent, since the owner counted them from its later arrival.
   for (const AgedPosition& known : reply.value().positions) {
     still->second.positions.note(asked - std::chrono::milliseconds(known.age_ms), known.position);
   }
--- a/src/pooling/backends_shares.cpp
+++ b/src/pooling/backends_shares.cpp
@@ -1,4 +1,4 @@
-// How many connections this daemon may hold to each database.
+// Sets how many connections this daemon may hold to each database.
 #include <algorithm>
 
 #include "pooling/backends.hpp"
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-/// Each database's declaration is at hand here: a search for each would cost databases times databases.
+/// Iterates over the configuration, which has each database's settings at hand: a lookup for each database
+/// would take quadratic time.
 void Backends::set_shares(const protocol::Configuration& configuration) {
   const auto self = configuration.daemons.find(self_);
   const bool takes_part =
--- a/src/pooling/backends_suspicions.cpp
+++ b/src/pooling/backends_suspicions.cpp
@@ -1,4 +1,4 @@
-// What this daemon holds against databases, and which groups have no primary that it can use.
+// Reports suspected databases to control, and tracks which groups have no usable primary.
 #include <utility>
 
 #include "logging/logging.hpp"
--- a/src/pooling/concurrency_limit.cpp
+++ b/src/pooling/concurrency_limit.cpp
@@ -5,13 +5,13 @@
 namespace pipitpond::pooling {
 namespace {
 
-/// Weight of the newest answer in the averages: one part in so many.
+/// Divisor of the moving average of latencies.
 constexpr int kRecentWeight = 8;
-/// The unhindered time follows quick answers soon and slow ones hardly, so that an overload does not become
-/// usual.
+/// Divisors of the baseline latency: it follows lower latencies quickly and higher ones very slowly, so that
+/// an overload does not become the baseline.
 constexpr int kQuickerWeight = 32;
 constexpr int kSlowerWeight = 1024;
-/// Answers that take this many times the unhindered time show that statements wait at the database.
+/// An average latency above this multiple of the baseline shows that statements queue at the database.
 constexpr int kHinderedFactor = 3;
 constexpr double kDecrease = 0.8;
 
@@ -23,7 +23,7 @@
     limit_ = first;
     begun_ = true;
   }
-  // What answers have taught holds on when the number of daemons that share a database changes.
+  // Keeps the learned limit when the bounds change with the number of daemons that share the database.
   limit_ = std::clamp(limit_, 1.0, most_);
 }
 
@@ -41,7 +41,7 @@
   decrease(now);
 }
 
-/// Once for what is under way: its answers say the same thing again.
+/// At most once per average latency: replies to the statements already in flight report the same congestion.
 void ConcurrencyLimit::decrease(core::Instant now) {
   if (now < next_decrease_) {
     return;
--- a/src/pooling/concurrency_limit.hpp
+++ b/src/pooling/concurrency_limit.hpp
@@ -1,6 +1,6 @@
-// How many statements one daemon lets a database run at once, found from how long they take. A database that
-// is offered more than it can do answers everything late; what waits here instead can be put in order and be
-// given up. No input or output.
+// Adaptive limit on the statements that one daemon runs at a database at once, derived from their latency. An
+// overloaded database replies late to everything; statements that wait at the daemon instead can be ordered
+// by priority and be dropped. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,28 +10,30 @@
 
 namespace pipitpond::pooling {
 
-/// What one daemon has under way at one database.
+/// What one daemon has in flight at one database.
 struct StatementsUnderWay {
   std::size_t outside = 0;          ///< Statements outside transactions.
-  std::size_t in_transactions = 0;  ///< Statements of transactions; those that rest have none.
-  std::size_t opening = 0;          ///< Connections that are being opened.
+  std::size_t in_transactions = 0;  ///< Statements in transactions; an idle transaction has none.
+  std::size_t opening = 0;          ///< Connections being opened.
 };
 
-/// The limit of one daemon for one database: additive increase, multiplicative decrease.
+/// One daemon's limit for one database: additive increase, multiplicative decrease.
 class ConcurrencyLimit {
  public:
-  /// The limit is never above `most`, nor below 1. It begins at the `first` that is set first.
+  /// Sets the bounds: the limit stays between 1 and `most`. The first call also sets the initial limit,
+  /// `first`.
   void set_bounds(std::uint32_t first, std::uint32_t most);
-  /// A statement was answered after `taken`.
+  /// A statement was answered `taken` after it was sent.
   void on_answered(core::Instant now, core::Duration taken);
-  /// The database had no room for a statement.
+  /// The database refused a statement because it was busy.
   void on_refused(core::Instant now);
 
   [[nodiscard]] std::uint32_t limit() const;
-  /// True when one more statement outside transactions may begin. Statements of transactions never ask: they
-  /// follow on what the database has done for them already. But they take slots, so that new ones wait.
+  /// True when one more statement outside a transaction may start. Statements in transactions are not subject
+  /// to the limit, because refusing them would waste the work that the database has already done; but they
+  /// occupy slots and count against new statements.
   [[nodiscard]] bool has_room(const StatementsUnderWay& under_way) const;
-  /// Time of a usual statement by the newest answers, and when nothing is in its way.
+  /// Average latency of the newest replies.
   [[nodiscard]] core::Duration recent() const { return recent_; }
   [[nodiscard]] core::Duration unhindered() const { return unhindered_; }
 
--- a/src/pooling/connection_lease.cpp
+++ b/src/pooling/connection_lease.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Its answer may wait for a replica's receipt.
+/// The reply may wait for a replica to acknowledge the write.
 bool writes(const Statement& statement) {
   return statement.kind == StatementKind::kCommit || may_write(statement);
 }
@@ -115,7 +115,7 @@
     if (replies.value()[before].failure) {
       connection_->link->close();
       co_return core::fail(core::ErrorKind::kConnectionLost,
-                           "The connection could not take the session's state.",
+                           "The session's state could not be restored on the connection.",
                            "Run the statement on another connection.");
     }
   }
--- a/src/pooling/connection_lease.hpp
+++ b/src/pooling/connection_lease.hpp
@@ -1,4 +1,4 @@
-// The use of a pool's connection for the length of a statement or a transaction. Single-threaded.
+// Lease of a pool's connection for one statement or transaction. Single-threaded.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -18,8 +18,8 @@
 
 class BackendPool;
 
-/// A lease on one of this daemon's own connections. Gives it back when it is destroyed: open and outside a
-/// transaction, or else closed.
+/// A lease on one of this daemon's own connections. The destructor returns the connection to the pool, or
+/// closes it if it is in a transaction.
 class ConnectionLease : public StatementLease {
  public:
   ConnectionLease(std::shared_ptr<BackendPool> pool, std::unique_ptr<PooledConnection> connection);
@@ -29,14 +29,15 @@
   ConnectionLease(const ConnectionLease&) = delete;
   ConnectionLease& operator=(const ConnectionLease&) = delete;
 
-  /// A statement that had to go before it and failed counts as a lost connection.
+  /// Statements that set up the session's state run first; if one of them fails, the connection counts as
+  /// lost.
   boost::asio::awaitable<core::Result<StatementReply>> run(const SessionState& session,
                                                            BackendStatement statement,
                                                            core::Duration timeout) override;
-  /// Runs a statement of the proxy itself.
+  /// Runs a statement that the proxy itself issues, without the session's state.
   boost::asio::awaitable<core::Result<StatementReply>> run_own(Statement statement, core::Duration timeout);
 
-  /// Asks the database for its status. Errors as BackendConnection::status.
+  /// Requests the database's status. Errors as BackendConnection::status.
   boost::asio::awaitable<core::Result<BackendStatus>> status(core::Duration timeout);
 
   [[nodiscard]] const std::shared_ptr<BackendPool>& pool() const { return pool_; }
--- a/src/pooling/connection_share.cpp
+++ b/src/pooling/connection_share.cpp
@@ -5,33 +5,33 @@
 namespace pipitpond::pooling {
 namespace {
 
-/// An equal part of this many connections serves a daemon without borrowing.
+/// With an equal part of at least this many connections a daemon does not need to borrow.
 constexpr std::uint32_t kEnoughConnections = 3;
-/// One part in so many of all connections is kept idle where they are scarce.
+/// Where connections are scarce, all daemons together keep this part of them idle: the inverse of the value.
 constexpr std::uint32_t kKeptPart = 2;
-/// One daemon holds at most one part in so many of scarce connections.
+/// Where connections are scarce, one daemon holds at most this part of them: the inverse of the value.
 constexpr std::uint32_t kMostPart = 4;
-/// Beyond one connection for each slot, only resting transactions need more.
+/// Connections beyond those that run statements, for idle transactions.
 constexpr std::uint32_t kForRestingTransactions = 2;
-/// Of all connections, this part may be kept idle: numerator and denominator. A database counts the
-/// connections of machines that lost power for seconds; their successors need room beside them.
+/// Fraction of all connections that may be kept idle. A database counts the connections of machines that lost
+/// power for seconds; their successors need room beside them.
 constexpr std::uint32_t kKeptNumerator = 2;
 constexpr std::uint32_t kKeptDenominator = 3;
-/// Statements that all daemons together let a database run or queue, for each of its slots: one runs, one is
-/// there when it ends. What waits beyond that waits at the daemons, which know its priority and its time.
+/// Statements per slot that all daemons together send to a database at once: one that runs, and one that is
+/// ready when it ends. Others wait at the daemons, which know their priorities and deadlines.
 constexpr std::uint32_t kStatementsForEachSlot = 2;
-/// What a new connection is taken to cost: a slot for this long.
+/// Assumed time for which opening a connection occupies a slot.
 constexpr core::Duration kOpeningTime = std::chrono::milliseconds(30);
-/// One part in so many of the slots' time may go to connections opened ahead of demand.
+/// Part of the slots' time that may go to connections opened ahead of demand: the inverse of the value.
 constexpr int kWarmUpPart = 5;
 
-/// One daemon's part of what all of them may run at once.
+/// One daemon's equal part of the statements that all daemons may run at once.
 std::uint32_t equal_concurrency(const DatabaseCapacity& capacity, std::uint32_t sharers) {
   const std::uint32_t all = capacity.slots * kStatementsForEachSlot;
   return std::max((all + sharers - 1) / sharers, 1U);
 }
 
-/// Parts of an owner, near and far, at a replica and at a primary.
+/// Relative weights of near and far owners, at a replica and at a primary; the other two are 1.
 constexpr std::size_t kNearPartsAtReplica = 3;
 constexpr std::size_t kFarPartsAtPrimary = 2;
 
@@ -57,7 +57,7 @@
   const auto part = static_cast<std::uint32_t>(capacity.connections * own / all);
   share.most = part;
   share.kept = std::max(part * kKeptNumerator / kKeptDenominator, 1U);
-  share.warm_up_interval = core::Duration::zero();  // For whom a connection is opened only demand can tell.
+  share.warm_up_interval = core::Duration::zero();  // Only demand tells which tenant needs a connection.
   share.most_concurrency = std::min(share.most, std::max(capacity.slots * kStatementsForEachSlot, 1U));
   share.first_concurrency = std::min(share.first_concurrency, share.most_concurrency);
   return share;
@@ -79,7 +79,7 @@
     share.kept = capacity.connections / (kKeptPart * sharers);
     share.most = std::min(capacity.connections, std::max(equal_part, std::min(fair, useful)));
   }
-  // One daemon may be the only one that is asked.
+  // A single daemon may receive all statements, so its limit may grow to what all daemons may run together.
   const std::uint32_t alone = std::max(capacity.slots * kStatementsForEachSlot, 1U);
   share.most_concurrency = std::min(share.most, alone);
   share.first_concurrency = std::min(concurrency, share.most_concurrency);
--- a/src/pooling/freshness.cpp
+++ b/src/pooling/freshness.cpp
@@ -12,7 +12,7 @@
                                   [sent](const ShownPosition& sample) { return sample.sent <= sent; });
   const bool close = later != samples_.rend() && sent - later->sent < kPositionSpacing;
   if (close) {
-    return;  // The sample before it says nearly as much.
+    return;  // The preceding sample is nearly as new.
   }
   samples_.insert(later.base(), ShownPosition{sent, position});
 }
--- a/src/pooling/freshness.hpp
+++ b/src/pooling/freshness.hpp
@@ -1,8 +1,8 @@
-// How far a log must reach for a read to be fresh enough. No input or output.
+// Determines how far a log must reach for a read to be fresh enough. Performs no I/O.
 //
-// Whatever the primary shows as its position in answer to something sent at time s covers every write that
-// was acknowledged before s. So a read that may be `staleness` old, asked at time t, is fresh on every log
-// that reaches a position shown in answer to something sent at t - staleness or later.
+// The position that the primary reports in reply to a request sent at time s covers every write that was
+// acknowledged before s. So a read at time t that may be `staleness` old is fresh on every log that reaches a
+// position reported in reply to a request sent at t - staleness or later.
 #pragma once
 
 #include <deque>
@@ -13,34 +13,34 @@
 
 namespace pipitpond::pooling {
 
-/// A position, and when what it answers was sent.
+/// A position that the primary reported, and when the request was sent that it replies to.
 struct ShownPosition {
   core::Instant sent;
   core::LogPosition position;
 };
 
-/// Positions that one group's primaries have shown to this daemon.
+/// Positions that the primaries of one group have reported to this daemon.
 class PrimaryPositions {
  public:
-  /// The primary showed `position` in answer to something sent at `sent`. Call only while the database was
-  /// surely the primary until the answer came.
+  /// Records the position that the primary reported in reply to a request sent at `sent`. The database must
+  /// have been certain to be the primary until the reply arrived.
   void note(core::Instant sent, const core::LogPosition& position);
 
-  /// The position that a log needs to hold every write acknowledged before `moment`: the least one that is
-  /// known to do. Empty when none is known.
+  /// The lowest known position at which a log holds every write acknowledged before `moment`; empty when none
+  /// is known.
   [[nodiscard]] std::optional<core::LogPosition> covering(core::Instant moment) const;
-  /// The same with its time; null when none is known.
+  /// Like covering, with the time of the request; null when none is known.
   [[nodiscard]] const ShownPosition* oldest_covering(core::Instant moment) const;
   /// The newest position; null before the first.
   [[nodiscard]] const ShownPosition* newest() const;
 
  private:
-  std::deque<ShownPosition> samples_;  ///< By time.
+  std::deque<ShownPosition> samples_;  ///< Ordered by `sent`.
 };
 
 /// Positions older than this are dropped: no staleness bound is longer.
 inline constexpr core::Duration kPositionsKept = std::chrono::seconds(10);
-/// Positions closer together than this are kept as one.
+/// Positions less than this after a kept one are not kept.
 inline constexpr core::Duration kPositionSpacing = std::chrono::milliseconds(20);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/opening_choice.cpp
+++ b/src/pooling/opening_choice.cpp
@@ -5,12 +5,13 @@
 namespace pipitpond::pooling {
 namespace {
 
-/// An opening counts so many times: the statement waits for its end, and statements of others wait for the
+/// Openings that one opening counts as: the statement waits for it to end, and other statements wait for the
 /// slot that it takes.
 constexpr int kOpeningWeight = 2;
-/// Where it closes another tenant's connection, which is then opened again: two openings.
+/// Twice that where another tenant's connection is closed, which has to be opened again later.
 constexpr int kReplacingWeight = 2 * kOpeningWeight;
-/// A statement is overdue after this many times the usual time: as for hindered answers in ConcurrencyLimit.
+/// A statement is overdue after this multiple of the average time: the same factor as for congestion in
+/// ConcurrencyLimit.
 constexpr int kOverdueFactor = 3;
 
 }  // namespace
--- a/src/pooling/owner_preference.hpp
+++ b/src/pooling/owner_preference.hpp
@@ -1,4 +1,4 @@
-// Which of a database's owners a statement is best offered to. No input or output.
+// Ranks a database's owners as targets for a forwarded statement. Performs no I/O.
 #pragma once
 
 #include <compare>
@@ -8,23 +8,23 @@
 
 namespace pipitpond::pooling {
 
-/// What is known of an owner.
+/// An owner to be ranked.
 struct OwnerCandidate {
   const core::DaemonId* daemon = nullptr;
   const core::ZoneName* zone = nullptr;
-  std::uint32_t outstanding = 0;  ///< Statements that it has from this daemon.
-  /// Orders owners that are alike, differently for each daemon that asks.
+  std::uint32_t outstanding = 0;  ///< Statements from this daemon in flight at the owner.
+  /// Breaks ties between owners, differently on each forwarding daemon.
   std::uint64_t preference = 0;
 };
 
-/// For whom, and from where to where.
+/// The statement's tenant, the zone of the forwarding daemon and the zone of the database.
 struct OwnerQuestion {
-  const core::TenantName& tenant;  ///< Empty: nobody in particular.
+  const core::TenantName& tenant;  ///< Empty: none in particular.
   const core::ZoneName& from;
   const core::ZoneName& database;
 };
 
-/// Orders owners: the least is the best.
+/// Sort key of an owner: the lowest is the best.
 struct OwnerRank {
   int distance = 0;
   std::uint32_t load = 0;
@@ -33,17 +33,19 @@
   auto operator<=>(const OwnerRank&) const = default;
 };
 
-/// Statements that the owner of a tenant's choice may have from one daemon before the next one is as good. A
-/// new connection takes 12 ms and a slot; one more statement in the queue takes a part of a usual statement's
-/// time.
+/// Statements in flight from one daemon that lower an owner's rank by one step, so that another owner becomes
+/// preferable to a tenant's regular one. A new connection takes 12 ms and a slot; one more statement in the
+/// queue takes a fraction of an average statement's time.
 inline constexpr std::uint32_t kOutstandingForTenant = 4;
 
-/// Near owners go first, for the way crosses zones once at most by an owner in either end's zone.
+/// Owners in the daemon's zone rank first, then those in the database's zone: through either, a statement
+/// crosses zones at most once.
 ///
-/// A connection carries one tenant's statements. All daemons choose the same owner for a tenant, so that its
-/// few connections there live on: with 84 tenants, 8 owners of 6 connections and each daemon's own choice,
-/// 85% of the requests opened a connection, 64% so. Without a tenant each daemon prefers another owner, so
-/// that all share the work: in the owners' own order the daemons of a zone would all ask the same one.
+/// A connection carries statements of one tenant only. All daemons rank the same owner first for a tenant, so
+/// that its few connections there are reused: with 84 tenants and 8 owners of 6 connections each, 85% of the
+/// requests opened a connection when each daemon had its own order, and 64% with a common one. Without a
+/// tenant each daemon prefers another owner, to spread the load: in a common order all daemons of a zone
+/// would use the same one.
 OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& question);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/pooled_connection.hpp
+++ b/src/pooling/pooled_connection.hpp
@@ -1,4 +1,4 @@
-// A connection of a pool to its database.
+// A pool's connection to its database.
 #pragma once
 
 #include <memory>
@@ -10,17 +10,18 @@
 
 namespace pipitpond::pooling {
 
-/// A connection and what it has been told.
+/// A connection and the state that the pool keeps for it.
 struct PooledConnection {
   std::unique_ptr<BackendConnection> link;
-  core::TenantName tenant;  ///< Whose statements it carries.
+  core::TenantName tenant;  ///< The tenant whose statements it carries.
   ConnectionState state;
-  /// A read under way on it may be run elsewhere: it is cut off when the database is found unreachable.
+  /// The statement in flight is a read outside a transaction, which can be retried at another database: the
+  /// connection is closed when its database turns out unreachable.
   bool expendable = false;
   core::Instant idle_since{};
   core::Instant in_use_since{};
-  core::Duration charged{};  ///< Slot time that its tenant was charged when it was handed out.
-  /// In use by a transaction, or by a statement that begins one: nobody knows when it will be free.
+  core::Duration charged{};  ///< Slot time charged to its tenant when it was handed out.
+  /// In use by a transaction, or by a statement that begins one: when it becomes free can't be predicted.
   bool in_transaction = false;
 };
 
--- a/src/pooling/primary_proof.cpp
+++ b/src/pooling/primary_proof.cpp
@@ -6,7 +6,7 @@
 namespace pipitpond::pooling {
 namespace {
 
-/// The primary itself, and the one database that need not be heard.
+/// The primary itself, and the one database that need not reply.
 constexpr std::size_t kNotWitnesses = 2;
 
 }  // namespace
@@ -33,8 +33,9 @@
   return !leads || contradicted;
 }
 
-/// One that was told to stop receiving until a later term is part of a change of primary. One that leads an
-/// earlier term than the presumed primary has been replaced without knowing it, and has no later entries.
+/// A database that was ordered to stop receiving entries until a later term takes part in a change of
+/// primary. A database that still leads an earlier term has been replaced without noticing, and has no later
+/// entries.
 bool PrimaryProof::bears_witness(const BackendStatus& status) const {
   const core::Term led = primary_status_->term;
   const bool knows_no_later_term =
--- a/src/pooling/primary_questions.cpp
+++ b/src/pooling/primary_questions.cpp
@@ -48,7 +48,7 @@
       co_return;
     }
     if (tried.size() == tried_before) {
-      break;  // No owner is left.
+      break;  // No owner is left to try.
     }
     ++counters_.asked;
     const auto shown = reply ? understood(reply.value(), subject.presumed, asked) : std::nullopt;
--- a/src/pooling/primary_questions.hpp
+++ b/src/pooling/primary_questions.hpp
@@ -1,9 +1,10 @@
-// Asks owners of a group's primary to show who that is, for a daemon that owns no connection to it: see
-// shown_primary.hpp. On demand, one question at a time for each group, shared by all that wait.
-// Single-threaded.
+// For a daemon that owns no connection to a group's primary: requests proofs of the primary from owners that
+// do (see shown_primary.hpp). Requests are sent on demand, one at a time for each group, and shared by all
+// waiting reads. Single-threaded.
 //
-// A status takes a slot of a database. With a round by each of many daemons, databases that open connections
-// after a start are kept busy by statuses; owners ask once for all daemons that ask them.
+// Each status request takes a slot of a database. If each of many daemons ran rounds of its own, status
+// requests would keep databases busy that are accepting connections after a start. An owner runs one round
+// for all daemons that ask it.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -23,35 +24,35 @@
 
 namespace pipitpond::pooling {
 
-/// Asks the best owner of a group's primary that is not among `tried`, and adds it there. Fails with
-/// kNotFound when none is left.
+/// Sends the request to the best owner of a group's primary that is not in `tried`, and adds that owner to
+/// `tried`. Fails with kNotFound when none is left.
 using AskOwner = std::function<boost::asio::awaitable<core::Result<ShownPrimaryReply>>(
     std::vector<core::DaemonId>& tried, ShownPrimaryRequest request)>;
 
-/// Whom a question is about.
+/// The group and presumed primary to be proven, and how to reach the primary's owners.
 struct QuestionSubject {
   core::GroupName group;
   PresumedPrimary presumed;
   AskOwner ask_owner;
 };
 
-/// Counts since the start.
+/// Counters since the start.
 struct QuestionCounters {
-  std::uint64_t asked = 0;   ///< Times that an owner was asked.
-  std::uint64_t told = 0;    ///< Of these, those that brought a proof.
-  std::uint64_t failed = 0;  ///< Questions that no owner answered with a proof.
+  std::uint64_t asked = 0;   ///< Requests sent to an owner.
+  std::uint64_t told = 0;    ///< Requests that returned a proof.
+  std::uint64_t failed = 0;  ///< Calls of `ask` for which no owner returned a proof.
 };
 
-/// The questions of all groups.
+/// Proof requests for all groups.
 class PrimaryQuestions {
  public:
   explicit PrimaryQuestions(boost::asio::io_context& io) : io_(io) {}
 
-  /// Asks for a round that began at `moment` or later, unless a question is under way or the last one began
-  /// less than kQuestionInterval ago. False: owners could not tell a moment ago, and this daemon must ask the
-  /// databases itself.
+  /// Requests a proof from a round that began at `moment` or later, unless a request for the group is in
+  /// flight or the last one began less than kQuestionInterval ago. Returns false when owners recently failed
+  /// to give a proof: this daemon must then ask the databases itself.
   bool ask(core::Instant now, core::Instant moment, const QuestionSubject& subject);
-  /// Called for each proof that was told.
+  /// Sets the callback for each proof received.
   void on_told(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
     callback_ = std::move(callback);
   }
@@ -73,15 +74,15 @@
   QuestionCounters counters_;
 };
 
-/// Between the beginnings of a group's questions: as between rounds.
+/// Minimum interval between proof requests for a group, the same as between rounds.
 inline constexpr core::Duration kQuestionInterval = std::chrono::milliseconds(20);
-/// An owner answers within this time: a round under way may have to end before the one that counts begins.
+/// Time in which an owner replies: the current round may have to end before the one that counts begins.
 inline constexpr core::Duration kOwnersProofTimeout = std::chrono::milliseconds(120);
-/// What the way to an owner and back may add: as for positions.
+/// Allowance for the round trip to an owner, the same as for positions.
 inline constexpr core::Duration kProofWay = std::chrono::milliseconds(40);
-/// Owners that one question is put to.
+/// Owners tried in turn for one proof.
 inline constexpr std::size_t kOwnersAskedForProof = 2;
-/// After a question that no owner answered, this daemon asks the databases itself for this long.
+/// After no owner gave a proof, this daemon asks the databases itself for this long.
 inline constexpr core::Duration kOwnersProofRest = std::chrono::milliseconds(250);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/primary_rounds.cpp
+++ b/src/pooling/primary_rounds.cpp
@@ -13,7 +13,7 @@
 
 using boost::asio::awaitable;
 
-/// One round: who was asked when, and what came.
+/// The state of one round.
 struct PrimaryRounds::Round {
   Round(PrimaryRounds& its_owner, const RoundSubject& subject, core::Instant its_begin)
       : owner(its_owner),
@@ -23,7 +23,7 @@
         outstanding(subject.pools.size()),
         proof(subject.primary, subject.members) {}
 
-  PrimaryRounds& owner;  ///< Lives for as long as the state of the group.
+  PrimaryRounds& owner;  ///< Outlives the state of the group.
   core::GroupName group;
   core::DatabaseId primary;
   core::Instant begun;
@@ -57,7 +57,8 @@
 
 awaitable<void> PrimaryRounds::ask_one(std::weak_ptr<GroupState> state, std::shared_ptr<Round> round,
                                        std::shared_ptr<BackendPool> pool) {
-  const AskStatus ask_status = round->owner.ask_status_;  // The owner may go meanwhile.
+  // Copied: the PrimaryRounds may be destroyed while this waits.
+  const AskStatus ask_status = round->owner.ask_status_;
   const auto status = co_await ask_status(pool, kRoundTimeout);
   const auto alive = state.lock();
   if (!alive) {
@@ -70,7 +71,7 @@
   round->owner.conclude(*alive, *round);
 }
 
-/// A round is over once it has shown something, or nothing more can come.
+/// A round ends once its outcome is certain or all requests have ended.
 void PrimaryRounds::conclude(GroupState& state, Round& round) {
   const auto position = round.proof.position();
   const bool over = position || round.proof.refuted() || round.outstanding == 0;
@@ -89,7 +90,7 @@
   }
 }
 
-/// An answer that was long on its way never takes the place of one that shows more.
+/// A delayed proof never replaces one from a later round.
 void PrimaryRounds::keep(const core::GroupName& group, GroupState& state, const ShownPrimary& shown) {
   if (!state.shown || state.shown->begun <= shown.begun) {
     state.shown = shown;
@@ -124,7 +125,7 @@
   }
 }
 
-/// Until the round under way ends, or the deadline.
+/// Waits until the current round ends, at most until the deadline.
 awaitable<void> PrimaryRounds::await_round(boost::asio::io_context& io, std::shared_ptr<GroupState> state,
                                            core::Instant deadline) {
   boost::asio::steady_timer timer(io, deadline - core::BootClock::now());
@@ -134,7 +135,7 @@
   state->waiting.erase(&timer);
 }
 
-/// Only when it differs from that of the last round.
+/// Logs the outcome only when it differs from that of the last round.
 void PrimaryRounds::log_outcome(GroupState& state, const Round& round) {
   const bool succeeded = round.proof.position().has_value();
   if (state.last_succeeded == succeeded) {
--- a/src/pooling/primary_rounds.hpp
+++ b/src/pooling/primary_rounds.hpp
@@ -1,5 +1,6 @@
-// Asks the databases of a group for their status, so that they show who is the primary when control can't:
-// see PrimaryProof. On demand, one round at a time for each group, shared by all that wait. Single-threaded.
+// Runs rounds of status requests to the databases of a group, which prove who the primary is when there is no
+// valid lease from control (see PrimaryProof). Rounds run on demand, one at a time for each group, and are
+// shared by all waiting reads. Single-threaded.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -23,47 +24,47 @@
 
 namespace pipitpond::pooling {
 
-/// Asks one database for its status, within a time.
+/// Requests the status of one database, with a timeout.
 using AskStatus = std::function<boost::asio::awaitable<core::Result<BackendStatus>>(
     std::shared_ptr<BackendPool>, core::Duration)>;
 
-/// The databases that a round asks.
+/// The databases to which a round sends requests.
 struct RoundSubject {
   core::GroupName group;
   core::DatabaseId primary;
-  std::vector<std::shared_ptr<BackendPool>> pools;  ///< Of the members that can be asked.
-  std::size_t members = 0;                          ///< All that the configuration lists.
+  std::vector<std::shared_ptr<BackendPool>> pools;  ///< Pools of the members that can be reached.
+  std::size_t members = 0;                          ///< Number of members in the configuration.
 };
 
-/// Tells the subject of the next round.
+/// Returns the databases for the next round, or nothing when no round can be started.
 using SubjectSource = std::function<std::optional<RoundSubject>(core::Instant)>;
 
-/// Counts since the start.
+/// Counters since the start.
 struct RoundCounters {
   std::uint64_t begun = 0;
   std::uint64_t shown = 0;
 };
 
-/// The rounds of all groups.
+/// Rounds for all groups.
 class PrimaryRounds {
  public:
   PrimaryRounds(boost::asio::io_context& io, AskStatus ask_status)
       : io_(io), ask_status_(std::move(ask_status)) {}
 
-  /// Begins a round unless one is under way or the last one began less than kRoundInterval ago.
+  /// Starts a round unless one is in progress or the last one began less than kRoundInterval ago.
   void ask(core::Instant now, const RoundSubject& subject);
-  /// Waits until a round that began at `earliest` or later has shown the group's primary, and begins rounds
-  /// until one has. `subject` tells whom to ask now, or nothing when no round can be begun any more. Empty
-  /// when nothing was shown before the deadline.
+  /// Starts rounds until one that began at `earliest` or later has proven the group's primary, and returns
+  /// that proof. `subject` returns the databases to ask now, or nothing when no round can be started any
+  /// more. Empty when there is no proof before the deadline.
   boost::asio::awaitable<std::optional<ShownPrimary>> await_shown(core::GroupName group,
                                                                   SubjectSource subject,
                                                                   core::Instant earliest,
                                                                   core::Instant deadline);
-  /// Another daemon's round has shown a primary. Counts like one of this daemon.
+  /// Records a proof from another daemon's round. It counts like one of this daemon.
   void note_told(const core::GroupName& group, const ShownPrimary& shown);
-  /// The last that a round of a group has shown, of this daemon or told by another; null before the first.
+  /// The newest proof for a group, from a round of this daemon or of another; null before the first.
   [[nodiscard]] const ShownPrimary* shown(const core::GroupName& group) const;
-  /// Called for each round that has shown a primary.
+  /// Sets the callback for each proof.
   void on_shown(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
     callback_ = std::move(callback);
   }
@@ -75,8 +76,9 @@
     std::shared_ptr<Round> under_way;
     core::Instant last_begun{};
     std::optional<ShownPrimary> shown;
-    std::optional<bool> last_succeeded;            ///< As last logged.
-    std::set<boost::asio::steady_timer*> waiting;  ///< For the end of the round that is under way.
+    std::optional<bool> last_succeeded;  ///< The outcome logged last.
+    /// Timers of coroutines that wait for the current round to end.
+    std::set<boost::asio::steady_timer*> waiting;
   };
 
   static boost::asio::awaitable<void> ask_one(std::weak_ptr<GroupState> state, std::shared_ptr<Round> round,
@@ -95,10 +97,11 @@
   RoundCounters counters_;
 };
 
-/// Between the beginnings of a group's rounds: a status takes a slot of each database for a moment.
+/// Minimum interval between the starts of a group's rounds: a status request takes a slot of each database
+/// for a moment.
 inline constexpr core::Duration kRoundInterval = std::chrono::milliseconds(20);
-/// A database that has not answered for this long, the wait for a connection included, is not heard in a
-/// round: several times a usual statement's time, well below the time in which callers want their answers.
+/// Timeout of a status request, the wait for a connection included: several times an average statement's
+/// latency, and well below the time in which callers expect their replies.
 inline constexpr core::Duration kRoundTimeout = std::chrono::milliseconds(100);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/replica_reach.hpp
+++ b/src/pooling/replica_reach.hpp
@@ -1,5 +1,5 @@
-// How far a replica's log reaches, learned from the reads that it could and could not serve. A replica that
-// lags still serves the reads that need less than it has. No input or output.
+// Tracks how far a replica's log reaches, from the reads that it could and could not serve. A lagging replica
+// still serves reads that need an older position. Performs no I/O.
 #pragma once
 
 #include <optional>
@@ -9,24 +9,28 @@
 
 namespace pipitpond::pooling {
 
-/// What one daemon knows of one replica's log.
+/// One daemon's knowledge of one replica's log.
 class ReplicaReach {
  public:
-  /// It refused a read because its log lacks `position`.
+  /// The replica refused a read because its log lacks `position`.
   void note_lacking(core::Instant now, const core::LogPosition& position);
-  /// It served a read that needed `position`.
+  /// The replica served a read that needed `position`.
   void note_reached(const core::LogPosition& position);
 
-  /// False while it is expected to lack `position`: it, or less, was lacking a moment ago.
+  /// False while the replica is expected to lack `position`, because it lacked that position or an earlier
+  /// one a moment ago.
   [[nodiscard]] bool may_reach(core::Instant now, const core::LogPosition& position) const;
 
  private:
-  std::optional<core::LogPosition> lacking_;  ///< The least position that is known to have been lacking.
+  /// The lowest position that the replica is known to have lacked.
+  std::optional<core::LogPosition> lacking_;
   core::Instant lacking_until_{};
-  core::Duration rest_{};  ///< How long a lacking position is not asked for again.
+  /// Backoff before a read that needs a lacking position is sent to the replica again.
+  core::Duration rest_{};
 };
 
-/// Bounds of that rest; it doubles with each refusal. The first is about the usual lag of a healthy replica.
+/// Bounds of that backoff, which doubles with each refusal. The lower bound is about the usual lag of a
+/// healthy replica.
 inline constexpr core::Duration kLackingRestMin = std::chrono::milliseconds(20);
 inline constexpr core::Duration kLackingRestMax = std::chrono::milliseconds(320);
 
--- a/src/pooling/shown_primary.hpp
+++ b/src/pooling/shown_primary.hpp
@@ -1,10 +1,10 @@
-// What a round of questions has shown of a group's primary, and how one daemon tells it to another. No input
-// or output.
+// The primary of a group as proven by a round of status requests, and the messages by which one daemon passes
+// such a proof to another. Performs no I/O.
 //
-// A proof stays true whatever happens after its answers (see primary_proof.hpp), and it rests on nothing that
-// the asker knows: so a proof of another daemon is as good as one of its own, if the round is not taken to
-// have begun later than it did. An owner that was frozen, an answer that is late or comes twice, and an asker
-// that was frozen only make a proof older than it need be.
+// A proof stays valid whatever happens after its replies (see primary_proof.hpp), and it does not depend on
+// anything that the daemon knows. A proof from another daemon is therefore as good as an own one, provided
+// that its round is not taken to have begun later than it did. A paused owner, a delayed or duplicated reply,
+// and a paused requester only make a proof seem older than it is.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace pipitpond::pooling {
 
-/// What a round has shown: every write acknowledged before `begun` is in the log of `primary`, up to
+/// The result of a round: every write acknowledged before `begun` is in the log of `primary`, up to
 /// `position`.
 struct ShownPrimary {
   core::DatabaseId primary;
@@ -25,43 +25,43 @@
   core::LogPosition position;
 };
 
-/// Asks an owner of a group's primary who that surely is, shown by a round that began `max_age_ms` before
-/// this message arrived, or later. Answered with a ShownPrimaryReply, or an error when nothing was shown in
-/// time.
+/// Requests from an owner of a group's primary a proof by a round that began no earlier than `max_age_ms`
+/// before this message arrived. The reply is a ShownPrimaryReply, or an error when there is no proof in time.
 struct ShownPrimaryRequest {
   core::GroupName group;
   std::uint32_t max_age_ms = 0;
-  std::uint32_t timeout_ms = 0;  ///< The owner answers within this time.
+  std::uint32_t timeout_ms = 0;  ///< The owner replies within this time.
 
   MSGPACK_DEFINE(group, max_age_ms, timeout_ms);
 };
 
-/// What the owner's round has shown.
+/// The result of the owner's round.
 struct ShownPrimaryReply {
   core::DatabaseId primary;
-  core::Term term = 0;  ///< Of the group, as the owner's configuration has it.
+  core::Term term = 0;  ///< Term of the group in the owner's configuration.
   core::LogPosition position;
-  /// How long before the question's arrival the round began, at most; 0: after it.
+  /// Upper bound on the time from the start of the round to the arrival of the request; 0: the round began
+  /// after it.
   std::uint32_t age_ms = 0;
 
   MSGPACK_DEFINE(primary, term, position, age_ms);
 };
 
-/// The earliest beginning of a round that serves the question, which arrived at `arrived`.
+/// The earliest start of a round whose proof may answer the request, which arrived at `arrived`.
 core::Instant earliest_round(const ShownPrimaryRequest& request, core::Instant arrived);
 
-/// What an owner answers to a question that arrived at `arrived`.
+/// The owner's reply to a request that arrived at `arrived`.
 ShownPrimaryReply told(const ShownPrimary& shown, core::Term term, core::Instant arrived);
 
-/// The primary that an asker takes a group to have.
+/// The primary of a group in the requester's configuration.
 struct PresumedPrimary {
   core::DatabaseId database;
   core::Term term = 0;
 };
 
-/// What the answer to a question that was sent at `asked` or later shows to the asker. Empty when the owner
-/// has another primary or another term: one of the two configurations is old, and the asker's own round tells
-/// more.
+/// The proof contained in the reply to a request sent at `asked` or later. Empty when the owner knows another
+/// primary or another term: one of the two configurations is outdated, and only a round of the requester can
+/// tell.
 std::optional<ShownPrimary> understood(const ShownPrimaryReply& reply, const PresumedPrimary& presumed,
                                        core::Instant asked);
 
--- a/src/pooling/statement_line.cpp
+++ b/src/pooling/statement_line.cpp
@@ -114,7 +114,7 @@
   return all;
 }
 
-/// They are where a tenant that was never heard of is.
+/// Drops tenants that are no longer ahead of virtual_time_: they are treated like unknown ones.
 void StatementLine::forget_caught_up() {
   std::erase_if(used_until_, [this](const auto& tenant) { return tenant.second <= virtual_time_; });
 }
--- a/src/pooling/statement_line.hpp
+++ b/src/pooling/statement_line.hpp
@@ -1,4 +1,4 @@
-// The order of those who wait for one database's connections at one of its owners. No input or output.
+// Queue of the statements that wait for a connection to one database at one of its owners. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,61 +13,64 @@
 
 namespace pipitpond::pooling {
 
-/// Names one that waits. Later ones have higher numbers.
+/// Identifies a waiting statement. Numbers increase in the order of creation.
 using WaiterNumber = std::uint64_t;
 
-/// More do not wait for each slot of the database: it takes 1 s to run so many usual statements of 10 ms, and
-/// an answer that comes later than that is late for nearly all routes.
+/// Maximum number of waiting statements per slot of the database: running that many statements of 10 ms takes
+/// 1 s, and a later reply is late for nearly all routes.
 inline constexpr std::size_t kMostWaitingForEachSlot = 100;
 
-/// One that waits.
+/// A waiting statement.
 struct LineEntry {
   WaiterNumber number = 0;
-  std::uint32_t priority = 0;  ///< 0 goes first.
+  std::uint32_t priority = 0;  ///< 0 is the highest priority.
   core::Instant goal = core::Instant::max();
-  std::optional<core::TenantName> tenant;  ///< Nothing, or an empty name: belongs to none.
-  /// Since when it has waited, here and elsewhere. A statement that goes from owner to owner would else begin
-  /// at the end of each one's line and never reach its head, while an owner's own callers keep their places.
+  std::optional<core::TenantName> tenant;  ///< nullopt or an empty name: none.
+  /// When the statement began to wait, here or at another owner. Otherwise a statement that is passed between
+  /// owners would start at the end of each queue and never reach its head, while statements of the owner's
+  /// own callers keep their places.
   core::Instant since{};
 };
 
-/// What came of joining the line.
+/// The result of adding a statement to the queue.
 struct JoinOutcome {
   bool joined = true;
-  std::optional<WaiterNumber> displaced;  ///< It has left the line to the new one and is to be told at once.
+  std::optional<WaiterNumber> displaced;  ///< A statement that was removed to make room for the new one; its
+                                          ///< caller must be told at once.
 };
 
-/// Who can still be in time goes first, then by priority, then by tenants' use of slot time, then by how long
-/// they have waited.
+/// Orders statements by whether they can still meet their goal, then by priority, then by their tenants' use
+/// of slot time, then by how long they have waited.
 ///
-/// Between tenants: start-time fair queueing with equal weights. A tenant's next statement starts, in virtual
-/// time, when what the tenant has used so far ends, but not before the latest start of anybody's: what was
-/// not used is not saved up. A tenant that floods the line waits for its own statements, not others for them.
+/// Tenants share by start-time fair queueing with equal weights. In virtual time, a tenant's next statement
+/// starts when the time that the tenant has used so far ends, but not before the latest start of any tenant:
+/// unused time is not saved up. A tenant that floods the queue delays its own statements, not those of
+/// others.
 class StatementLine {
  public:
-  /// Adds the entry at most `most` wait; a full line loses the one that goes last, which may be the new one.
-  /// `usual` is the time of a usual statement.
+  /// Adds the entry. If more than `most` statements then wait, the last in order is removed, which may be the
+  /// new one. `usual` is the average time of a statement.
   JoinOutcome join(core::Instant now, LineEntry entry, std::size_t most, core::Duration usual);
-  /// Takes out the one that goes next of those for whom `can_be_served` holds.
+  /// Removes the first statement in order for which `can_be_served` holds, and returns its number.
   std::optional<WaiterNumber> take_next(core::Instant now, core::Duration usual,
                                         const std::function<bool(const LineEntry&)>& can_be_served);
-  /// It has stopped waiting. No effect when it does not wait.
+  /// Removes a statement that has stopped waiting. No effect when it is not in the queue.
   void remove(WaiterNumber number);
-  /// A statement of the tenant starts and is expected to take `usual` of a slot.
+  /// Charges the tenant for a statement that starts and is expected to take a slot for `usual`.
   void note_started(const std::optional<core::TenantName>& tenant, core::Duration usual);
-  /// The tenant has used a slot for so much longer than was noted at the start; negative: shorter.
+  /// Charges the tenant for `difference`, the slot time beyond what was charged at the start; negative: less.
   void note_used(const std::optional<core::TenantName>& tenant, core::Duration difference);
 
   void clear() { entries_.clear(); }
 
-  /// Those who wait, the one that goes first at the front.
+  /// The waiting statements, the next one first.
   [[nodiscard]] std::vector<LineEntry> in_order(core::Instant now, core::Duration usual) const;
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
   [[nodiscard]] bool empty() const { return entries_.empty(); }
   [[nodiscard]] std::size_t tenants() const { return used_until_.size(); }
 
  private:
-  /// Who has the smaller one goes first.
+  /// Sort key of a waiting statement; the lowest goes first.
   struct Place {
     bool late = false;
     std::uint32_t priority = 0;
@@ -79,14 +82,15 @@
   };
 
   [[nodiscard]] core::Duration start_of(const std::optional<core::TenantName>& tenant) const;
-  /// Places of all entries, in their order: a tenant's later ones start after its earlier ones of the same
-  /// priority.
+  /// Sort keys of all entries, in the order of `entries_`. Of a tenant's entries with the same priority,
+  /// later ones start after earlier ones.
   [[nodiscard]] std::vector<Place> places(core::Instant now, core::Duration usual) const;
   void forget_caught_up();
 
-  std::vector<LineEntry> entries_;  ///< Who has waited longest first.
+  std::vector<LineEntry> entries_;  ///< In the order of `since`.
   core::Duration virtual_time_{};
-  /// In virtual time, of tenants that have used more than others; the rest begins at virtual_time_.
+  /// Virtual time until which each tenant has used its share, for tenants that are ahead of virtual_time_;
+  /// all others start at virtual_time_.
   std::map<core::TenantName, core::Duration> used_until_;
 };
 
--- a/src/pooling/tenant_demand.hpp
+++ b/src/pooling/tenant_demand.hpp
@@ -1,5 +1,5 @@
-// How much each tenant has asked of a database lately: tells whose idle connection is worth least. No input
-// or output.
+// Recent demand of each tenant for a database's connections, to choose the idle connection that is worth
+// least. Performs no I/O.
 #pragma once
 
 #include <cmath>
@@ -11,13 +11,13 @@
 
 namespace pipitpond::pooling {
 
-/// A use counts half after this long: long enough for the rate of one use in some seconds to show, short
-/// enough to follow a tenant that moves to another zone. A guess; no other was measured.
+/// Half-life of a use's weight: long enough to show a rate of one use in several seconds, short enough to
+/// follow a tenant that moves to another zone.
 inline constexpr core::Duration kDemandHalfLife = std::chrono::seconds(10);
-/// Tenants with less than this (no use for some 70 s) are forgotten.
+/// Tenants with less demand than this (no use for about 70 s) are dropped.
 inline constexpr double kForgottenDemand = 0.01;
 
-/// Uses by tenant, older ones counting less.
+/// Uses by tenant, weighted by exponential decay.
 class TenantDemand {
  public:
   void note_use(core::Instant now, const core::TenantName& tenant) {
--- a/src/pooling/waiting.hpp
+++ b/src/pooling/waiting.hpp
@@ -1,4 +1,4 @@
-// Waiting in coroutines. Single-threaded.
+// Timed waits in coroutines. Single-threaded.
 #pragma once
 
 #include <utility>  // Before Asio's coroutine headers, which lack it.
@@ -13,7 +13,7 @@
 
 namespace pipitpond::pooling {
 
-/// Suspends the calling coroutine for a while.
+/// Suspends the calling coroutine for `duration`.
 inline boost::asio::awaitable<void> pause_for(boost::asio::io_context& io, core::Duration duration) {
   boost::asio::steady_timer timer(io, duration);
   boost::system::error_code ignored;
--- a/tests/pooling/backend_health_test.cpp
+++ b/tests/pooling/backend_health_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_FALSE(health_.suspicion(now_, true));
   pass(60);
   EXPECT_EQ(health_.suspicion(now_, true), Suspicion::kReplicationStalled);
-  EXPECT_FALSE(health_.suspicion(now_, false)) << "a replica has no receipts to wait for";
+  EXPECT_FALSE(health_.suspicion(now_, false)) << "a replica waits for no acknowledgement";
 }
 
 TEST_F(BackendHealthTest, AStallIsRememberedUntilAWriteIsAnswered) {
--- a/tests/pooling/backend_pool_test.cpp
+++ b/tests/pooling/backend_pool_test.cpp
@@ -143,7 +143,8 @@
 }
 
 TEST_F(BackendPoolTest, ARequestThatIsLateLetsOneGoFirstThatCanStillBeInTime) {
-  // Bench, kcbu-counts with lagging replicas: a fifth of the reads came late from a primary that was full.
+  // Guards against serving requests that are late already before those that can still be in time. With
+  // lagging replicas, a fifth of the reads was late at a primary that was fully loaded.
   auto first = acquire();
   auto second = acquire();
   const auto ask = [this](int goal_millis) {
@@ -199,13 +200,13 @@
   Statement begin;
   begin.kind = StatementKind::kBegin;
   ASSERT_TRUE(pipitpond::testing::run(io_, transaction.value().run_own(begin, milliseconds(500))));
-  EXPECT_TRUE(acquire().has_value()) << "the transaction rests";
+  EXPECT_TRUE(acquire().has_value()) << "the transaction is idle";
   connector_.database("a").work = milliseconds(60);
   Statement read;
   const auto runs = pipitpond::testing::start(io_, transaction.value().run_own(read, milliseconds(5000)));
   const auto waits = pipitpond::testing::start(io_, BackendPool::acquire(pool_, request(5000)));
   pipitpond::testing::run_until(io_, [&] { return pool_->waiting() == 1 || waits->done(); });
-  EXPECT_FALSE(waits->done()) << "the transaction's statement has the only room";
+  EXPECT_FALSE(waits->done()) << "the transaction's statement uses up the concurrency limit";
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] {
     EXPECT_TRUE(runs->done() || !waits->done());
     return waits->done();
@@ -242,12 +243,14 @@
   EXPECT_EQ(pool_->held(), 2U);
   EXPECT_EQ(pool_->counters().made_room, 1U);
   { const auto lease = acquire(request_of("t2")); }
-  EXPECT_EQ(connector_.opened_for, (std::vector<std::string>{"t1", "t2", "t3"})) << "the oldest one went";
+  EXPECT_EQ(connector_.opened_for, (std::vector<std::string>{"t1", "t2", "t3"}))
+      << "the least recently used connection was closed";
 }
 
 TEST_F(BackendPoolTest, TheConnectionOfTheTenantThatAsksLeastMakesRoom) {
-  // 46,405 connections were opened for 72,606 requests of 84 tenants when the one used least lately went:
-  // each request of a small tenant took a large one's away.
+  // Guards against closing the least recently used connection whatever its tenant's demand. With 84 tenants
+  // that opened 46,405 connections for 72,606 requests: each request of a small tenant closed a large one's
+  // connection.
   for (int times = 0; times < 3; ++times) {
     const auto lease = acquire(request_of("large"));
   }
@@ -259,7 +262,7 @@
 }
 
 TEST_F(BackendPoolTest, ATenantsQueueKeepsNoIdleConnectionFromAnother) {
-  // t1 waits for its one connection that is in use; t2 has an idle one.
+  // t1 waits for its only connection, which is in use; t2 has an idle one.
   pool_->set_share(ConnectionShare{2, 2, std::chrono::hours(1), 4, 4});
   auto first = acquire(request_of("t1"));
   { const auto lease = acquire(request_of("t2")); }
@@ -268,7 +271,7 @@
   pipitpond::testing::run_until(io_, [this] { return pool_->waiting() == 1; });
   { const ConnectionLease given_back = std::move(second.value()); }
   pipitpond::testing::run_until(io_, [&] { return waits->done(); });
-  EXPECT_TRUE(waits->value->has_value()) << "the idle connection of t2 made room";
+  EXPECT_TRUE(waits->value->has_value()) << "the idle connection of t2 was closed for t1";
 }
 
 TEST_F(BackendPoolTest, AStatementWaitsForItsTenantsConnectionThatIsInUse) {
--- a/tests/pooling/concurrency_limit_test.cpp
+++ b/tests/pooling/concurrency_limit_test.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/// Answers that come one after the other, each after the given time.
+/// Reports `count` replies in sequence, each `taken` after the previous one.
 core::Instant answer(ConcurrencyLimit& limit, core::Instant now, int count, milliseconds taken) {
   for (int number = 0; number < count; ++number) {
     now += taken;
--- a/tests/pooling/concurrency_load_test.cpp
+++ b/tests/pooling/concurrency_load_test.cpp
@@ -1,4 +1,5 @@
-// Owners of one database under more load than its slots can take: what their limits let through.
+// Simulates the owners of one database under more load than its slots can take, and checks what their
+// concurrency limits let through.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -23,8 +24,8 @@
 constexpr std::size_t kOwners = 8;
 constexpr std::uint32_t kMostOfOneOwner = 5;
 constexpr int kStatementsOfTransaction = 5;
-constexpr core::Duration kRest = milliseconds(2);        ///< Between statements of a transaction.
-constexpr core::Duration kBusyPause = milliseconds(10);  ///< After a rejection.
+constexpr core::Duration kRest = milliseconds(2);        ///< Pause between statements of a transaction.
+constexpr core::Duration kBusyPause = milliseconds(10);  ///< Pause after a rejection.
 constexpr core::Duration kRejection = milliseconds(1);
 constexpr core::Duration kGoal = milliseconds(400);
 constexpr core::Duration kDeadline = milliseconds(1000);
@@ -56,7 +57,7 @@
   StatementsUnderWay under_way;
 };
 
-/// All owners and the database, played without a network.
+/// Discrete-event simulation of all owners and the database, without a network.
 class Play {
  public:
   Play(std::uint32_t seed, bool counts_transactions)
@@ -66,7 +67,8 @@
     }
   }
 
-  /// Five seconds of requests, a part of which are transactions; then as long as any of them runs.
+  /// Simulates 5 s of requests, of which the given fraction are transactions, and then until all of them have
+  /// ended.
   Outcome run(int statements_per_second, double transactions) {
     constexpr int kSeconds = 5;
     const double statements = 1 + transactions * (kStatementsOfTransaction - 1);
@@ -183,7 +185,7 @@
     });
   }
 
-  /// A statement of the request has run.
+  /// Continues the request after one of its statements has run.
   void go_on(Request request) {
     if (--request.statements_left > 0) {
       at_time(now_ + kRest, [this, request] { run_in_transaction(request); });
@@ -240,7 +242,7 @@
   return all;
 }
 
-/// Of the statements that 4 slots can run in a second, 444, these are 130%.
+/// 130% of the 444 statements that 4 slots can run in a second.
 constexpr int kOverload = 577;
 
 TEST(ConcurrencyLoadTest, CountingTransactionsKeepsTheDatabasesQueueFromOverflowing) {
--- a/tests/pooling/connection_share_test.cpp
+++ b/tests/pooling/connection_share_test.cpp
@@ -13,8 +13,8 @@
 }
 
 TEST(ConnectionShareTest, AThirdOfTheConnectionsIsFreeWhileDaemonsRest) {
-  // Bench, kerbrat-pieces scale-2: after a loss of power, databases still counted the connections of before
-  // for 3 s, and 343 new ones were refused.
+  // Guards against idle connections that take up the whole limit: after a power loss, databases counted the
+  // connections of lost machines for 3 s more, and 343 new ones were refused.
   for (const std::uint32_t daemons : {1U, 2U, 4U, 8U}) {
     const ConnectionShare share = share_of({32, 2}, daemons);
     EXPECT_LE(share.kept * daemons, 32U * 2 / 3) << daemons;
@@ -23,7 +23,7 @@
 }
 
 TEST(ConnectionShareTest, WithMoreDaemonsThanConnectionsEachMayStillOpenOne) {
-  // Bench, bmsac-archive-grown: 29 of 63 proxies owned no connection and refused what they were asked.
+  // Guards against daemons without any connection: 29 of 63 proxies owned none and refused their requests.
   const ConnectionShare share = share_of({34, 3}, 63);
   EXPECT_EQ(share.kept, 0U);
   EXPECT_EQ(share.most, 5U);
@@ -63,8 +63,9 @@
 }
 
 TEST(ConnectionShareTest, IdleConnectionsFollowWhatTheDatabaseCanRunNotItsLimit) {
-  // 20 groups of 3 databases with 600 connections and 2 slots each: 4,564 connections were opened in the
-  // first two seconds, for databases that run 120 statements at once.
+  // Guards against opening far more connections than a database can use: with 20 groups of 3 databases, each
+  // with a limit of 600 connections and 2 slots, 4,564 connections were opened in the first two seconds,
+  // although all databases together run 120 statements at once.
   const ConnectionShare share = share_of({596, 2}, 8);
   EXPECT_EQ(share.kept, 3U);
   EXPECT_EQ(share.most, 74U);
@@ -73,8 +74,8 @@
 TEST(ConnectionShareTest, DaemonsTogetherBeginWithTwoStatementsForEachSlot) {
   EXPECT_EQ(share_of({30, 3}, 6).first_concurrency, 1U);
   EXPECT_EQ(share_of({30, 3}, 2).first_concurrency, 3U);
-  EXPECT_EQ(share_of({30, 3}, 2).most_concurrency, 6U) << "the other one may have nothing to do";
-  EXPECT_EQ(share_of({600, 2}, 198).most_concurrency, 3U) << "no more than its connections";
+  EXPECT_EQ(share_of({30, 3}, 2).most_concurrency, 6U) << "the other daemon may be idle";
+  EXPECT_EQ(share_of({600, 2}, 198).most_concurrency, 3U) << "at most as many as its connections";
 }
 
 RC_GTEST_PROP(ConnectionShareProperty, IdleConnectionsOfAllDaemonsFitAndEveryDaemonMayConnect, ()) {
--- a/tests/pooling/freshness_test.cpp
+++ b/tests/pooling/freshness_test.cpp
@@ -38,12 +38,12 @@
   EXPECT_EQ(positions.covering(at(200)), (core::LogPosition{1, 9}));
 }
 
-// The oracle: a primary whose log grows with acknowledged writes. Whatever is asked, the position must reach
-// every write that was acknowledged before the moment.
+// The oracle is a primary whose log grows with acknowledged writes: the returned position must always reach
+// every write that was acknowledged before the requested moment.
 RC_GTEST_PROP(PrimaryPositionsProperty, CoversEveryWriteAcknowledgedBefore, ()) {
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
   PrimaryPositions positions;
-  std::vector<int> acknowledged;  // Times of writes; the n-th has index n + 1.
+  std::vector<int> acknowledged;  // Times of the writes; the write at offset n has log index n + 1.
   int now = 0;
   for (const int step : steps) {
     now += step;
--- a/tests/pooling/opening_choice_test.cpp
+++ b/tests/pooling/opening_choice_test.cpp
@@ -45,14 +45,14 @@
   EXPECT_TRUE(is_overdue(since + milliseconds(28), since, milliseconds(9)));
 }
 
-// --- A load
+// --- Under load
 
 constexpr int kSlots = 4;
 constexpr std::size_t kMostConnections = 14;
 constexpr int kTenants = 12;
 constexpr core::Duration kStatement = milliseconds(9);
 constexpr core::Duration kOpening = milliseconds(12);
-constexpr int kLatencyWeight = 8;  ///< Of the newest in averages, one part in so many.
+constexpr int kLatencyWeight = 8;  ///< Inverse weight of the newest value in averages.
 
 enum class Policy { kOpenForEachWaiter, kNeverWhileOneIsInUse, kChoice };
 
@@ -72,7 +72,7 @@
   }
 };
 
-/// One owner of a database and the database's slots, played without a network.
+/// Discrete-event simulation of one owner of a database and the database's slots, without a network.
 class Play {
  public:
   explicit Play(Policy policy) : policy_(policy) {}
@@ -118,7 +118,7 @@
     events_.push({at, ++events_made_, std::move(act)});
   }
 
-  /// A job of the database: it runs when a slot is free.
+  /// Queues a job at the database, which runs it when a slot is free.
   void submit(Job job) {
     jobs_.push_back(std::move(job));
     start_jobs();
@@ -226,17 +226,18 @@
   std::uint64_t events_made_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::deque<Waiting> waiting_;
-  std::deque<int> idle_;  ///< Tenants of idle connections; the one used last is at the back.
+  std::deque<int> idle_;  ///< Tenants of the idle connections; the most recently used one is at the back.
   std::map<int, std::size_t> in_use_;
   std::map<int, std::size_t> opening_;
   std::deque<Job> jobs_;
   int busy_slots_ = 0;
-  core::Duration usual_statement_ = kStatement;  ///< As the pool measures it: the wait for a slot included.
+  /// Includes the wait for a slot, as in the pool's own measurement.
+  core::Duration usual_statement_ = kStatement;
   core::Duration usual_opening_ = kOpening;
   Outcome outcome_;
 };
 
-/// Twenty seconds of bursts of 1 to `largest` statements, each of one tenant, 2 ms apart.
+/// Simulates 5 s of bursts of 1 to `largest` statements, 2 ms apart, each burst of one tenant.
 Outcome play_bursts(Policy policy, std::uint32_t seed, int bursts_per_second, int largest) {
   constexpr int kSeconds = 5;
   std::mt19937 random(seed);
--- a/tests/pooling/primary_proof_test.cpp
+++ b/tests/pooling/primary_proof_test.cpp
@@ -1,6 +1,6 @@
-// The proof that a database was the primary, by cases and in a seeded model of a group: databases with logs,
-// holds, restarts and promotions that behave as the platform describes, one change of primary at a time, an
-// oracle for what a proof promises.
+// Tests of PrimaryProof: single cases, and a seeded model of a group as an oracle. The model's databases have
+// logs, are fenced, restarted and promoted as the platform describes it, with one change of primary at a
+// time.
 #include "pooling/primary_proof.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
 TEST(PrimaryProofTest, ThePrimaryAndOneReplicaOfThreeShowIt) {
   PrimaryProof proof(kA, 3);
   proof.note(kA, leads(4, {4, 20}));
-  EXPECT_FALSE(proof.position()) << "its own word is not enough";
+  EXPECT_FALSE(proof.position()) << "the primary's own status is not enough";
   proof.note(kB, follows(4, {4, 18}));
   EXPECT_EQ(proof.position(), (core::LogPosition{4, 20}));
 }
@@ -76,7 +76,6 @@
 }
 
 // --- The model
-// ---------------------------------------------------------------------------------------------------
 
 constexpr std::size_t kDatabases = 3;
 const std::array<core::DatabaseId, kDatabases> kIds{kA, kB, kC};
@@ -89,16 +88,16 @@
   std::vector<core::LogPosition> log;
 };
 
-/// A round of questions under way: which databases have not been asked yet.
+/// A round in progress.
 struct ModelRound {
   std::size_t presumed = 0;
-  std::size_t acknowledged_before = 0;  ///< Writes acknowledged when the round began.
+  std::size_t acknowledged_before = 0;  ///< Number of writes acknowledged when the round began.
   PrimaryProof proof;
   std::vector<std::size_t> to_ask;
-  core::Duration begun{};  ///< By the model's true time.
+  core::Duration begun{};  ///< In the model's true time.
 };
 
-/// A daemon's clock: it differs from the true time in rate and in what it calls zero.
+/// A daemon's clock, which differs from the true time in rate and offset.
 struct ModelClock {
   double rate = 1;
   core::Duration offset{};
@@ -113,20 +112,20 @@
   }
 };
 
-/// A question from one daemon to an owner, which runs the rounds.
+/// A request from one daemon to an owner, which runs the rounds.
 struct ModelQuestion {
   ShownPrimaryRequest request;
-  core::Instant asked;                   ///< By the asker's clock.
-  std::optional<core::Instant> arrived;  ///< By the owner's.
+  core::Instant asked;                   ///< By the requester's clock.
+  std::optional<core::Instant> arrived;  ///< By the owner's clock.
   std::optional<ShownPrimaryReply> reply;
 };
 
-/// How a round is judged.
+/// The rule that decides whether a database counts as the primary.
 enum class Rule : std::uint8_t {
   kProof,
   kOwnWord,
-  kTold,             ///< A proof counts at a daemon to which an owner tells it.
-  kToldFromArrival,  ///< The same with its age counted from the answer, not from the question.
+  kTold,             ///< A proof also counts at a daemon that receives it from an owner.
+  kToldFromArrival,  ///< As above, but its age is counted from the reply, not from the request.
 };
 
 class GroupModel {
@@ -137,7 +136,7 @@
     asker_clock_ = any_clock();
   }
 
-  /// Empty, or what a proof promised and did not hold.
+  /// Returns a description of the first wrong proof, or an empty string.
   std::string play(int steps) {
     for (int step = 0; step < steps && finding_.empty(); ++step) {
       take_step();
@@ -183,7 +182,8 @@
     }
   }
 
-  /// A replica that is not held follows a primary of its term or a later one, and rolls back what that lacks.
+  /// A replica that may receive entries follows a primary of its own term or a later one, and rolls back
+  /// entries that the primary lacks.
   bool replicate(std::size_t from, std::size_t to) {
     ModelDatabase& primary = databases_.at(from);
     ModelDatabase& replica = databases_.at(to);
@@ -210,7 +210,8 @@
     }
   }
 
-  /// Forgets a hold; keeps the log. One that led comes back as a replica if another was promoted.
+  /// Stops or starts a database. It keeps its log, but forgets that it is fenced. A former primary comes back
+  /// as a replica if another database has been promoted.
   void restart(std::size_t which) {
     ModelDatabase& database = databases_.at(which);
     database.alive = !database.alive;
@@ -218,8 +219,8 @@
       return other.primary && other.term > database.term;
     });
     if (database.alive) {
-      // Control fences a replica again that restarted during a change, before it receives: without that, an
-      // acknowledged write could be lost, which is another matter than this proof.
+      // Control fences a replica again that restarted during a change of primary, before the replica receives
+      // entries. Otherwise an acknowledged write could be lost, which this proof does not cover.
       database.held_term = changing_ ? database.held_term : 0;
       database.primary = database.primary && !another;
     }
@@ -235,7 +236,7 @@
     database.held_term = newest_term_ + 1;
   }
 
-  /// All but one must be fenced; the furthest of them leads.
+  /// Promotes the fenced database with the newest log entry, once all but one are fenced.
   void promote() {
     std::vector<std::size_t> fenced;
     for (std::size_t which = 0; which < kDatabases; ++which) {
@@ -254,8 +255,8 @@
     ++newest_term_;
     changing_ = false;
     for (ModelDatabase& database : databases_) {
-      // A hold ends with the promotion, of which it tells. Without that a replica could go on giving the old
-      // primary receipts, and its writes would be lost: again another matter than this proof.
+      // The promotion announces the new term and ends the fencing. Otherwise a replica could go on
+      // acknowledging writes of the old primary, which would be lost; this proof does not cover that either.
       database.term = database.held_term > 0 ? newest_term_ : database.term;
       database.held_term = 0;
     }
@@ -301,7 +302,7 @@
     }
   }
 
-  /// Every write that was acknowledged before the round must be in the log that a read would now run on.
+  /// Every write acknowledged before the round must be in the log at which a read would now run.
   void judge(const ModelRound& round) {
     ++proofs_;
     const auto& log = databases_.at(round.presumed).log;
@@ -314,20 +315,20 @@
     }
   }
 
-  // --- An owner that tells a daemon what its rounds have shown
+  // --- An owner passes its proofs to a daemon
 
   ModelClock any_clock() {
-    constexpr double kRateStep = 0.001;  // Up to 2% fast or slow, 4.1% between the two.
+    constexpr double kRateStep = 0.001;  // Up to 2% fast or slow, so up to 4.1% between two clocks.
     const double rate = 1 + kRateStep * (static_cast<double>(telling_random_() % 41) - 20);
     return ModelClock{rate, std::chrono::seconds(1000 + telling_random_() % 1000)};
   }
 
-  /// Questions and answers take any time, and answers may come twice.
+  /// Requests and replies take any time, and replies may be duplicated.
   void take_telling_step() {
     now_ += std::chrono::milliseconds(telling_random_() % 20);
     const std::uint64_t kind = telling_random_() % 10;
     if (kind == 0) {
-      now_ += std::chrono::milliseconds(telling_random_() % 2000);  // All are frozen.
+      now_ += std::chrono::milliseconds(telling_random_() % 2000);  // All processes are paused.
     } else if (kind < 3 && questions_.size() < 4) {
       ModelQuestion question;
       question.request.max_age_ms = telling_random_() % 2 == 0 ? 0 : telling_random_() % 1000;
@@ -354,7 +355,8 @@
     }
   }
 
-  /// Every write that was acknowledged before the moment from which the asker counts.
+  /// Every write acknowledged before the start of the round, as the requester computes it, must be in the
+  /// log.
   void judge_told(const ModelQuestion& question) {
     const core::Instant counted_from = rule_ == Rule::kTold ? question.asked : asker_clock_.at(now_);
     const auto understood_now = understood(*question.reply, {question.reply->primary, 1}, counted_from);
@@ -367,7 +369,7 @@
       const core::LogPosition& needed = acknowledged_.at(write);
       const bool held = std::find(log.begin(), log.end(), needed) != log.end();
       if (!held || needed > understood_now->position) {
-        finding_ = "told: database " + understood_now->primary.value() + " lacks " +
+        finding_ = "passed on: database " + understood_now->primary.value() + " lacks " +
                    std::to_string(needed.term) + "." + std::to_string(needed.index);
       }
     }
@@ -375,7 +377,8 @@
 
   std::mt19937_64 random_;
   Rule rule_;
-  std::mt19937_64 telling_random_;  ///< Of its own, so that the other rules play as without it.
+  /// A separate generator, so that runs with the other rules stay the same.
+  std::mt19937_64 telling_random_;
   core::Duration now_{};
   ModelClock owner_clock_;
   ModelClock asker_clock_;
@@ -402,7 +405,7 @@
     ASSERT_EQ(model.play(kSteps), "") << "seed " << seed;
     proofs += model.proofs();
   }
-  EXPECT_GT(proofs, kSeeds) << "the model shows hardly any primary";
+  EXPECT_GT(proofs, kSeeds) << "the model gives hardly any proof";
 }
 
 TEST(PrimaryProofModelTest, NoProofThatAnOwnerTellsIsEverWrong) {
@@ -412,7 +415,7 @@
     ASSERT_EQ(model.play(kSteps), "") << "seed " << seed;
     proofs += model.told_proofs();
   }
-  EXPECT_GT(proofs, kSeeds) << "the model tells hardly any proof";
+  EXPECT_GT(proofs, kSeeds) << "the model passes on hardly any proof";
 }
 
 TEST(PrimaryProofModelTest, ToldAgesCountedFromTheAnswerWouldBeWrong) {
--- a/tests/pooling/replica_reach_test.cpp
+++ b/tests/pooling/replica_reach_test.cpp
@@ -17,7 +17,8 @@
 }
 
 TEST(ReplicaReachTest, ALaggingReplicaStillServesReadsThatNeedLess) {
-  // Bench, kerbrat-pieces trouble-3: one refused read kept all reads from a replica that lagged by 2 s.
+  // Guards against one refused read that keeps all reads from a replica: this happened with a replica that
+  // lagged by 2 s.
   ReplicaReach reach;
   reach.note_lacking(at(0), {1, 50});
   EXPECT_FALSE(reach.may_reach(at(1), {1, 50}));
@@ -45,8 +46,8 @@
   }
 }
 
-// The oracle: a replica whose log only grows. A read that it could serve is kept from it only while a
-// position at or below the read's was lacking within the longest rest.
+// The oracle is a replica whose log only grows. A read may be kept from the replica only while a position at
+// or below the read's was refused within the longest backoff.
 RC_GTEST_PROP(ReplicaReachProperty, NoReadIsKeptBackWithoutARecentRefusalOfAsLittle, ()) {
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
   ReplicaReach reach;
--- a/tests/pooling/shown_primary_test.cpp
+++ b/tests/pooling/shown_primary_test.cpp
@@ -1,5 +1,5 @@
-// Proofs of who is the primary that owners tell: the messages by cases, and an owner with daemons that ask it
-// over real connections.
+// Tests of proofs of the primary that owners pass to other daemons: the messages by single cases, and one
+// owner with daemons that send it requests over real connections.
 #include "pooling/shown_primary.hpp"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   const core::Instant asked = core::Instant{} + std::chrono::hours(7);
   const auto shown = understood(reply, {kA, 1}, asked);
   ASSERT_TRUE(shown);
-  EXPECT_EQ(shown->begun, asked) << "an answer that is late, or of a frozen owner, is no younger";
+  EXPECT_EQ(shown->begun, asked) << "a reply that is late, or of a paused owner, must not seem newer";
   EXPECT_EQ(shown->position, (core::LogPosition{1, 5}));
 }
 
@@ -78,8 +78,7 @@
   }
 }
 
-// --- An owner and those that ask it
-// ------------------------------------------------------------------------------
+// --- An owner and the daemons that send it requests
 
 constexpr int kAskers = 20;
 
@@ -153,7 +152,7 @@
     return pipitpond::testing::run(io_, session.run(example_statement(StatementKind::kRead)));
   }
 
-  /// One read at each daemon, all at once; returns how many were answered without failure.
+  /// Runs one read at each daemon, all at once; returns how many succeeded.
   int read_at_all() {
     std::vector<std::unique_ptr<CallerSession>> sessions;
     std::vector<std::shared_ptr<pipitpond::testing::Pending<StatementReply>>> pending;
@@ -199,7 +198,7 @@
   protocol::Configuration configuration_;
   std::vector<std::unique_ptr<DaemonParts>> askers_;
   bool older_version_ = false;
-  int silent_for_ = 0;  ///< Questions that get no answer in time.
+  int silent_for_ = 0;  ///< Requests that get no reply in time.
   int questions_ = 0;
   std::unique_ptr<wire::Server> server_;
 };
@@ -208,7 +207,7 @@
   slow_statuses(milliseconds(20));
   EXPECT_EQ(read_at_all(), kAskers);
   RecordProperty("statuses_asked", statuses());
-  EXPECT_LE(statuses(), 4 * 3) << "rounds of three statuses each";
+  EXPECT_LE(statuses(), 4 * 3) << "at most four rounds of three status requests";
   for (const auto& daemon : askers_) {
     EXPECT_EQ(daemon->backends.rounds().begun, 0U);
   }
@@ -219,7 +218,7 @@
   slow_statuses(milliseconds(20));
   EXPECT_EQ(read_at_all(), kAskers);
   RecordProperty("statuses_asked", statuses());
-  EXPECT_GE(statuses(), kAskers) << "else sharing would gain nothing";
+  EXPECT_GE(statuses(), kAskers) << "otherwise sharing proofs would save nothing";
 }
 
 TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheDaemonsOwnRound) {
@@ -231,7 +230,7 @@
 }
 
 TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheNextOne) {
-  add_daemon(configuration_, "owner-2", "zone-owner");  // Behind the same server.
+  add_daemon(configuration_, "owner-2", "zone-owner");  // Served by the same server.
   for (protocol::Database& database : configuration_.groups.begin()->second.databases) {
     database.max_owners = 2;
   }
@@ -247,7 +246,7 @@
   protocol::Configuration newer = configuration_;
   newer.groups.begin()->second.terms.push_back(protocol::TermStart{2, kA, {}});
   owner_.apply(newer);
-  EXPECT_FALSE(read(*askers_[0]).failure) << "its own round serves it";
+  EXPECT_FALSE(read(*askers_[0]).failure) << "the daemon's own round proves the primary";
   EXPECT_EQ(askers_[0]->backends.primary_questions().told, 0U);
   EXPECT_EQ(askers_[0]->backends.rounds().shown, 1U);
 }
@@ -262,7 +261,7 @@
   EXPECT_TRUE(first->value->has_value());
   ASSERT_TRUE(older->value->has_value());
   EXPECT_GE(older->value->value().age_ms, 10U);
-  EXPECT_FALSE(second->done()) << "only one that may be older is served by the round under way";
+  EXPECT_FALSE(second->done()) << "the current round may answer only a request that accepts an older proof";
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return second->done(); }));
   ASSERT_TRUE(second->value->has_value());
   EXPECT_EQ(second->value->value().age_ms, 0U);
--- a/tests/pooling/spreading_test.cpp
+++ b/tests/pooling/spreading_test.cpp
@@ -1,4 +1,4 @@
-// Daemons that know the same must not all choose the same owner or the same database.
+// Daemons with the same information must not all choose the same owner or the same database.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -61,7 +61,7 @@
   for (int number = 0; number < kAskingDaemons; ++number) {
     ask_once("asking-" + std::to_string(number));
   }
-  ASSERT_EQ(asked_.size(), 4U) << "every owner is asked by somebody";
+  ASSERT_EQ(asked_.size(), 4U) << "every owner must receive a request";
   for (const auto& [name, count] : asked_) {
     EXPECT_LE(count, kAskingDaemons / 2) << name;
   }
@@ -87,7 +87,7 @@
     ASSERT_TRUE(choice);
     ++chosen[choice->pool->address().database.value()];
   }
-  EXPECT_FALSE(chosen.contains("a")) << "the primary is for writes";
+  EXPECT_FALSE(chosen.contains("a")) << "reads must not use up the primary, which writes need";
   EXPECT_GE(chosen["b"], kAskingDaemons / 4);
   EXPECT_GE(chosen["c"], kAskingDaemons / 4);
 }
--- a/tests/pooling/statement_line_test.cpp
+++ b/tests/pooling/statement_line_test.cpp
@@ -43,12 +43,11 @@
   EXPECT_EQ(line.take_next(now, kUsual, anybody), std::nullopt);
 }
 
-// What happened: on a fleet whose callers ask without a pause, some proxies served a new caller's write at
-// once and others not for 7.5 s. Why: proxies that own no connections pass statements on, and let one owner's
-// line go after 30 to 120 ms for another's. Each time the statement began at the end, so that where the wait
-// was longer than that it was never served; the owners' own callers kept their places. What showed it: soak
-// seed 61000, proxies 1, 18, 20 and 21 refused 7 of 7 writes with "No connection to the database came free in
-// time", while 3, 7 and 8 served the first one in 268 ms.
+// Guards against a statement that starves because it loses its place when it moves to another owner's queue.
+// Proxies without connections of their own forward statements, and leave one owner's queue for another's
+// after 30 to 120 ms. When each move put the statement at the end of the queue, it was never served where the
+// wait was longer than that, while statements of the owners' own callers kept their places: some proxies
+// refused all writes of a new caller for 7.5 s, others served its first one within 268 ms.
 TEST(StatementLineTest, AStatementThatHasWaitedElsewhereGoesBeforeThoseThatCameLater) {
   StatementLine line;
   const core::Instant now{milliseconds(500)};
@@ -163,20 +162,20 @@
   EXPECT_LE(line.tenants(), 3U);
 }
 
-// --- A load
+// --- Under load
 
-/// Who asks, and what came of it.
+/// A simulated request and its outcome.
 struct Ask {
   core::Instant at;
   std::uint32_t priority = 0;
   std::string tenant;
   core::Duration goal{};
-  core::Duration latency = core::Duration::max();  ///< Stays so when it was displaced.
+  core::Duration latency = core::Duration::max();  ///< Stays at max() when the request is displaced.
 
   [[nodiscard]] bool in_time() const { return latency <= goal; }
 };
 
-/// Asks with a rate per second, for one second.
+/// Adds requests like `like` at random times within one second; `rate` is their number.
 void add_asks(std::vector<Ask>& asks, std::mt19937& random, int rate, const Ask& like) {
   std::uniform_int_distribution<int> micros(0, 1'000'000);
   for (int number = 0; number < rate; ++number) {
@@ -186,7 +185,7 @@
   }
 }
 
-/// Plays them on `slots`, of which `lost` are gone after half a second.
+/// Simulates the requests on `slots`, of which `lost` are gone after half a second.
 void play(std::vector<Ask>& asks, std::mt19937& random, std::size_t slots, std::size_t lost = 0) {
   std::sort(asks.begin(), asks.end(), [](const Ask& left, const Ask& right) { return left.at < right.at; });
   std::uniform_int_distribution<int> micros(5'000, 13'000);
@@ -222,7 +221,7 @@
 
 constexpr std::uint32_t kSeeds = 100;
 
-/// Part of the urgent ones (priority 0) that are in time; every one counts, also those displaced.
+/// Fraction of the urgent requests (priority 0) that are in time; displaced ones count as late.
 double urgent_in_time(const std::vector<Ask>& asks) {
   double all = 0;
   double in_time = 0;
@@ -237,8 +236,8 @@
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(seed);
     std::vector<Ask> asks;
-    add_asks(asks, random, 200, Ask{{}, 0, "", milliseconds(60)});   // Of 444 that 4 slots can do.
-    add_asks(asks, random, 900, Ask{{}, 2, "", milliseconds(400)});  // Twice as many alone.
+    add_asks(asks, random, 200, Ask{{}, 0, "", milliseconds(60)});   // 4 slots can run 444 a second.
+    add_asks(asks, random, 900, Ask{{}, 2, "", milliseconds(400)});  // Twice as many as the slots can run.
     play(asks, random, 4);
     EXPECT_GE(urgent_in_time(asks), 0.99) << "seed " << seed;
   }
@@ -248,14 +247,15 @@
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(seed);
     std::vector<Ask> asks;
-    add_asks(asks, random, 600, Ask{{}, 0, "", milliseconds(60)});  // Of 1,000 that 9 slots can do.
+    add_asks(asks, random, 600, Ask{{}, 0, "", milliseconds(60)});  // 9 slots can run 1,000 a second.
     add_asks(asks, random, 600, Ask{{}, 2, "", milliseconds(400)});
     play(asks, random, 10, 1);
     EXPECT_GE(urgent_in_time(asks), 0.99) << "seed " << seed;
   }
 }
 
-/// Ten tenants with 20 a second each, on 4 slots; "flood" asks `flood` a second.
+/// Latencies of ten tenants with 20 requests a second each on 4 slots, while the tenant "flood" sends `flood`
+/// requests a second.
 std::vector<core::Duration> calm_latencies(std::uint32_t seed, int flood) {
   std::mt19937 random(seed);
   std::vector<Ask> asks;
@@ -276,7 +276,7 @@
 
 TEST(StatementLineLoadTest, ATenantAtEightTimesItsUsualDelaysOthersByOneStatementAtMost) {
   constexpr int kUsualRate = 50;
-  constexpr core::Duration kLongest = milliseconds(13);  // A statement under way is not interrupted.
+  constexpr core::Duration kLongest = milliseconds(13);  // A running statement is not interrupted.
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     const auto usual = calm_latencies(seed, kUsualRate);
     const auto flooded = calm_latencies(seed, 8 * kUsualRate);
