--- a/src/pooling/backend_health.hpp
+++ b/src/pooling/backend_health.hpp
@@ -16,13 +16,13 @@
 using BatchNumber = std::uint64_t;
 
 /// A database with a batch in flight that has sent no reply for this long is suspected and probed.
-inline constexpr core::Duration kDoubtAfterSilence = std::chrono::milliseconds(300);
+inline constexpr core::Duration kSuspectAfterSilence = std::chrono::milliseconds(300);
 
 /// Tracks the health of one database, or of another daemon that forwards statements to it.
 class BackendHealth {
  public:
-  explicit BackendHealth(core::Duration doubt_after_silence = kDoubtAfterSilence)
-      : doubt_after_silence_(doubt_after_silence) {}
+  explicit BackendHealth(core::Duration suspect_after_silence = kSuspectAfterSilence)
+      : suspect_after_silence_(suspect_after_silence) {}
 
   /// A batch was sent. `writes`: its reply waits for a replica to acknowledge the write.
   BatchNumber on_sent(core::Instant now, bool writes);
@@ -45,7 +45,7 @@
   void on_probe(core::Instant now, bool answered, bool refused);
 
   /// False while the database is considered unreachable.
-  [[nodiscard]] bool usable() const { return failures_ < kFailuresToGiveUp; }
+  [[nodiscard]] bool usable() const { return failures_ < kFailuresUntilUnreachable; }
   /// The suspicion to report to control, if any. `primary`: the database is the group's primary.
   [[nodiscard]] std::optional<protocol::Suspicion> suspicion(core::Instant now, bool primary) const;
 
@@ -55,30 +55,30 @@
     bool writes = false;
   };
 
-  void heard(core::Instant now);
-  [[nodiscard]] bool silent(core::Instant now) const;
-  [[nodiscard]] bool write_waits(core::Instant now) const;
+  void note_response(core::Instant now);
+  [[nodiscard]] bool reply_overdue(core::Instant now) const;
+  [[nodiscard]] bool write_overdue(core::Instant now) const;
 
-  static constexpr std::uint32_t kFailuresToGiveUp = 2;
+  static constexpr std::uint32_t kFailuresUntilUnreachable = 2;
 
-  core::Duration doubt_after_silence_;
+  core::Duration suspect_after_silence_;
   BatchNumber last_batch_ = 0;
-  std::map<BatchNumber, Batch> under_way_;
+  std::map<BatchNumber, Batch> in_flight_;
   core::Instant last_heard_{};
-  bool doubted_ = false;
+  bool suspected_ = false;
   std::uint32_t failures_ = 0;
   bool probing_ = false;
-  bool probed_for_silence_ = false;  ///< The probe in flight was sent because a reply is overdue.
+  bool probed_for_overdue_reply_ = false;  ///< The probe in flight was sent because a reply is overdue.
   core::Instant next_probe_{};
   bool not_primary_ = false;
-  bool write_given_up_ = false;  ///< The last write or commit timed out on an unbroken connection.
+  bool write_timed_out_ = false;  ///< The last write or commit timed out on an unbroken connection.
 };
 
 /// A write without a reply for this long, while the database replies to other statements, is taken to wait
 /// for a replica's acknowledgement that will not come.
-inline constexpr core::Duration kReceiptOverdue = std::chrono::milliseconds(500);
+inline constexpr core::Duration kReplicaAckOverdue = std::chrono::milliseconds(500);
 /// Between probes of a suspected database.
-inline constexpr core::Duration kDoubtProbeInterval = std::chrono::milliseconds(200);
+inline constexpr core::Duration kSuspectProbeInterval = std::chrono::milliseconds(200);
 /// Between probes of a database that is considered unreachable.
 inline constexpr core::Duration kUnreachableProbeInterval = std::chrono::milliseconds(400);
 /// A probe without a reply for this long has failed.
--- a/src/pooling/backend_pool.cpp
+++ b/src/pooling/backend_pool.cpp
@@ -19,14 +19,14 @@
 
 constexpr core::Duration kConnectTimeout = std::chrono::milliseconds(500);
 /// Delay before the next attempt after a connection could not be opened.
-constexpr core::Duration kOpenPause = std::chrono::milliseconds(50);
+constexpr core::Duration kOpenRetryDelay = std::chrono::milliseconds(50);
 /// Assumed latency of a database before the first reply.
-constexpr core::Duration kFirstLatency = std::chrono::milliseconds(10);
+constexpr core::Duration kInitialLatency = std::chrono::milliseconds(10);
 /// Divisor of the moving averages, which is the inverse weight of the newest value.
-constexpr int kLatencyWeight = 8;
+constexpr int kLatencyAverageDivisor = 8;
 /// Divisor of the decay of the average latency towards its initial value in each tick without a reply: half
 /// of the difference is gone after 1.1 s at a tick of 50 ms.
-constexpr int kForgottenPart = 32;
+constexpr int kLatencyDecayDivisor = 32;
 /// Bounds of the idle time after which a connection beyond `kept` is closed; the time shrinks while the
 /// database refuses new connections.
 constexpr core::Duration kBorrowedIdleMax = std::chrono::milliseconds(1000);
@@ -34,7 +34,7 @@
 /// Added to that idle time with each connection that is opened successfully.
 constexpr core::Duration kBorrowedIdleStep = std::chrono::milliseconds(10);
 
-core::Error line_full_error() {
+core::Error queue_full_error() {
   return core::Error{core::ErrorKind::kNoCapacity,
                      "Too many statements wait for a connection to the database.",
                      "Try again a little later.", 100};
@@ -69,8 +69,8 @@
       zone_(std::move(zone)),
       openings_check_(io),
       borrowed_idle_limit_(kBorrowedIdleMax / 2),
-      usual_latency_(kFirstLatency),
-      usual_opening_(kFirstLatency) {}
+      average_latency_(kInitialLatency),
+      average_opening_time_(kInitialLatency) {}
 
 BackendPool::~BackendPool() = default;
 
@@ -97,10 +97,10 @@
   if (request.tenant) {
     pool->demand_.note_use(core::BootClock::now(), *request.tenant);
   }
-  if (pool->line_.empty() && pool->may_run_another()) {
+  if (pool->queue_.empty() && pool->may_start_statement()) {
     if (auto idle = pool->idle_.take(request.tenant, request.session)) {
-      pool->line_.note_started(request.tenant, pool->usual_latency_);
-      idle->charged = pool->usual_latency_;
+      pool->queue_.note_started(request.tenant, pool->average_latency_);
+      idle->charged_slot_time = pool->average_latency_;
       co_return ConnectionLease(pool, std::move(idle));
     }
   }
@@ -108,7 +108,7 @@
     co_return core::fail(core::ErrorKind::kConnectionRefused, "The database can't be reached.",
                          "Choose another one, or try again.");
   }
-  const std::shared_ptr<PoolWaiter> waiter = pool->join_line(request);
+  const std::shared_ptr<PoolWaiter> waiter = pool->enqueue(request);
   pool->serve_waiters();  // Waiters ahead of it may need connections of other tenants.
   if (!waiter->connection && !waiter->error) {
     waiter->timer.expires_after(std::max(core::Duration::zero(), request.deadline - core::BootClock::now()));
@@ -118,18 +118,18 @@
   if (waiter->connection) {
     co_return ConnectionLease(pool, std::move(waiter->connection));
   }
-  pool->line_.remove(waiter->number);
+  pool->queue_.remove(waiter->number);
   pool->waiters_.erase(waiter->number);
   if (waiter->error) {
     co_return *waiter->error;
   }
-  ++pool->counters_.waited_in_vain;
+  ++pool->counters_.wait_timeouts;
   co_return core::fail(core::ErrorKind::kNoCapacity,
                        "No connection to the database became free before the deadline.",
                        "Try again a little later.", 100);
 }
 
-std::shared_ptr<PoolWaiter> BackendPool::join_line(const ConnectionRequest& request) {
+std::shared_ptr<PoolWaiter> BackendPool::enqueue(const ConnectionRequest& request) {
   auto waiter = std::make_shared<PoolWaiter>(io_);
   waiter->number = ++last_waiter_;
   waiter->goal = request.goal;
@@ -137,37 +137,38 @@
   waiter->tenant = request.tenant;
   waiters_.emplace(waiter->number, waiter);
   const core::Instant now = core::BootClock::now();
-  const LineEntry entry{waiter->number, request.priority, request.goal, request.tenant,
-                        request.since.value_or(now)};
-  const std::size_t most = slots_ * kMostWaitingForEachSlot;
-  const JoinOutcome outcome = line_.join(now, entry, most, usual_latency_);
-  if (!outcome.joined) {
+  const QueueEntry entry{waiter->number, request.priority, request.goal, request.tenant,
+                         request.since.value_or(now)};
+  const std::size_t most = slots_ * kMaxWaitingPerSlot;
+  const EnqueueOutcome outcome = queue_.enqueue(now, entry, most, average_latency_);
+  if (!outcome.accepted) {
     ++counters_.line_full;
-    refuse_waiter(waiter->number, entry, "line_full");
+    reject_waiter(waiter->number, entry, "line_full");
   }
   if (outcome.displaced) {
     ++counters_.displaced;
-    refuse_waiter(*outcome.displaced, entry, "displaced");
+    reject_waiter(*outcome.displaced, entry, "displaced");
   }
   return waiter;
 }
 
-void BackendPool::refuse_waiter(WaiterNumber number, const LineEntry& newest, const char* reason) {
+void BackendPool::reject_waiter(WaiterNumber number, const QueueEntry& newest, const char* reason) {
   logging::logger("pool")->info(
       "event=line_refusal database={} reason={} waiting={} newest_priority={} slots={} usual_us={}",
-      logging::field(address_.database.value()), reason, line_.size(), newest.priority, slots_,
-      usual_latency_.count());
+      logging::field(address_.database.value()), reason, queue_.size(), newest.priority, slots_,
+      average_latency_.count());
   const auto found = waiters_.find(number);
-  found->second->error = line_full_error();
+  found->second->error = queue_full_error();
   found->second->timer.cancel();
   waiters_.erase(found);
 }
 
 /// Charges the tenant for the slot time beyond what was charged when the connection was handed out. Later
 /// statements of a transaction are charged in full.
-void BackendPool::note_slot_time(PooledConnection& connection, core::Duration taken) {
-  const core::Duration charged = std::exchange(connection.charged, core::Duration::zero());
-  line_.note_used(connection.tenant, taken - charged);
+void BackendPool::charge_slot_time(PooledConnection& connection, core::Duration taken) {
+  const core::Duration charged_slot_time =
+      std::exchange(connection.charged_slot_time, core::Duration::zero());
+  queue_.note_used(connection.tenant, taken - charged_slot_time);
 }
 
 awaitable<core::Result<BackendStatus>> BackendPool::ask_status(std::shared_ptr<BackendPool> pool,
@@ -189,21 +190,21 @@
 }
 
 void BackendPool::open_when_needed() {
-  const bool resting = core::BootClock::now() < next_open_;
-  while (!closed_ && !resting && may_run_another()) {
-    const std::shared_ptr<PoolWaiter> waiter = next_to_open_for();
+  const bool backing_off = core::BootClock::now() < next_open_attempt_;
+  while (!closed_ && !backing_off && may_start_statement()) {
+    const std::shared_ptr<PoolWaiter> waiter = next_waiter_to_open_for();
     if (!waiter || !make_room()) {
       break;
     }
     ++counters_.opened_for_want;
-    begin_to_open(waiter->tenant.value_or(core::TenantName()));
+    start_opening(waiter->tenant.value_or(core::TenantName()));
   }
 }
 
-std::shared_ptr<PoolWaiter> BackendPool::next_to_open_for() {
+std::shared_ptr<PoolWaiter> BackendPool::next_waiter_to_open_for() {
   std::map<core::TenantName, std::size_t> openings = opening_for_;
   std::map<core::TenantName, std::size_t> before;
-  for (const LineEntry& entry : line_.in_order(core::BootClock::now(), usual_latency_)) {
+  for (const QueueEntry& entry : queue_.in_order(core::BootClock::now(), average_latency_)) {
     const std::shared_ptr<PoolWaiter>& waiter = waiters_.at(entry.number);
     const core::TenantName tenant = waiter->tenant.value_or(core::TenantName());
     std::size_t& left = openings[tenant];
@@ -211,54 +212,54 @@
       --left;
       continue;
     }
-    if (should_open_for(*waiter, before[tenant], coming_back(tenant))) {
+    if (should_open_for(*waiter, before[tenant], soon_free(tenant))) {
       return waiter;
     }
     ++before[tenant];
     counters_.waited_instead += waiter->counted_as_waiting ? 0 : 1;
     waiter->counted_as_waiting = true;
-    check_openings_later();
+    schedule_openings_check();
   }
   return nullptr;
 }
 
 bool BackendPool::should_open_for(const PoolWaiter& waiter, std::size_t waiting_before,
-                                  std::size_t coming_back) const {
+                                  std::size_t soon_free) const {
   if (!waiter.tenant || waiter.tenant->empty()) {
     return true;
   }
   const auto opening = opening_for_.find(*waiter.tenant);
   OpeningInputs inputs;
   inputs.waiting_before = waiting_before;
-  inputs.coming_back = coming_back;
+  inputs.soon_free = soon_free;
   inputs.opening = opening == opening_for_.end() ? 0 : opening->second;
-  inputs.closes_another = held() >= share_.most;
-  inputs.usual_statement = usual_latency_;
-  inputs.usual_opening = usual_opening_;
+  inputs.replaces_another = held() >= share_.most;
+  inputs.average_statement_time = average_latency_;
+  inputs.average_opening_time = average_opening_time_;
   return should_open(inputs);
 }
 
-std::size_t BackendPool::coming_back(const core::TenantName& tenant) const {
+std::size_t BackendPool::soon_free(const core::TenantName& tenant) const {
   const core::Instant now = core::BootClock::now();
   const auto count = std::count_if(in_use_.begin(), in_use_.end(), [&](const PooledConnection* connection) {
     return connection->tenant == tenant && !connection->in_transaction &&
-           !is_overdue(now, connection->in_use_since, usual_latency_);
+           !is_overdue(now, connection->in_use_since, average_latency_);
   });
   return static_cast<std::size_t>(count);
 }
 
-void BackendPool::check_openings_later() {
-  if (openings_check_set_) {
+void BackendPool::schedule_openings_check() {
+  if (openings_check_scheduled_) {
     return;
   }
-  openings_check_set_ = true;
-  openings_check_.expires_after(usual_opening_);
+  openings_check_scheduled_ = true;
+  openings_check_.expires_after(average_opening_time_);
   openings_check_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
     const auto self = weak.lock();
     if (!self || error) {
       return;
     }
-    self->openings_check_set_ = false;
+    self->openings_check_scheduled_ = false;
     self->open_when_needed();
   });
 }
@@ -270,68 +271,68 @@
   if (idle_.empty()) {
     return false;
   }
-  idle_.close_least_wanted(core::BootClock::now(), demand_);
+  idle_.close_least_demanded(core::BootClock::now(), demand_);
   ++counters_.made_room;
   return true;
 }
 
-void BackendPool::begin_to_open(core::TenantName tenant) {
+void BackendPool::start_opening(core::TenantName tenant) {
   ++opening_;
   ++opening_for_[tenant];
-  boost::asio::co_spawn(io_, open_one(shared_from_this(), std::move(tenant)), boost::asio::detached);
+  boost::asio::co_spawn(io_, open_connection(shared_from_this(), std::move(tenant)), boost::asio::detached);
 }
 
 /// Opens connections ahead of demand one at a time and slowly: opening one takes a slot of the database from
 /// statements.
 void BackendPool::open_ahead(core::Instant now) {
   const bool warms_up = share_.warm_up_interval > core::Duration::zero();
-  const bool wanted = warms_up && health_.usable() && opening_ == 0 && held() < share_.kept;
-  if (!wanted || now < next_warm_up_ || now < next_open_) {
+  const bool should_open_ahead = warms_up && health_.usable() && opening_ == 0 && held() < share_.kept;
+  if (!should_open_ahead || now < next_warm_up_ || now < next_open_attempt_) {
     return;
   }
   next_warm_up_ = now + share_.warm_up_interval;
-  begin_to_open(core::TenantName());
+  start_opening(core::TenantName());
 }
 
-void BackendPool::give_back_borrowed(core::Instant now) {
+void BackendPool::close_idle_borrowed(core::Instant now) {
   while (!idle_.empty() && held() > share_.kept && now - idle_.oldest_since() >= borrowed_idle_limit_) {
-    idle_.close_least_wanted(now, demand_);
+    idle_.close_least_demanded(now, demand_);
     ++counters_.given_back;
   }
 }
 
-awaitable<void> BackendPool::open_one(std::shared_ptr<BackendPool> self, core::TenantName tenant) {
+awaitable<void> BackendPool::open_connection(std::shared_ptr<BackendPool> self, core::TenantName tenant) {
   const core::Instant begun = core::BootClock::now();
   BackendAddress address = self->address_;
   address.tenant = tenant;
-  auto link = co_await self->connector_.connect(std::move(address), kConnectTimeout);
+  auto backend = co_await self->connector_.connect(std::move(address), kConnectTimeout);
   --self->opening_;
   if (--self->opening_for_[tenant] == 0) {
     self->opening_for_.erase(tenant);
   }
   const core::Instant now = core::BootClock::now();
-  self->last_open_failed_ = !link;
-  if (!link) {
+  self->last_open_failed_ = !backend;
+  if (!backend) {
     ++self->counters_.open_failed;
-    self->next_open_ = now + kOpenPause;
-    self->on_open_failed(link.error());
+    self->next_open_attempt_ = now + kOpenRetryDelay;
+    self->on_open_failed(backend.error());
     co_return;
   }
   ++self->counters_.opened;
-  self->line_.note_used(tenant, now - begun);
-  self->usual_opening_ += (now - begun - self->usual_opening_) / kLatencyWeight;
+  self->queue_.note_used(tenant, now - begun);
+  self->average_opening_time_ += (now - begun - self->average_opening_time_) / kLatencyAverageDivisor;
   self->borrowed_idle_limit_ = std::min(kBorrowedIdleMax, self->borrowed_idle_limit_ + kBorrowedIdleStep);
   self->health_.on_connected(now);
   auto connection = std::make_unique<PooledConnection>();
-  connection->link = std::move(link.value());
+  connection->backend = std::move(backend.value());
   connection->tenant = std::move(tenant);
-  self->hand_out(std::move(connection));
+  self->make_available(std::move(connection));
 }
 
 void BackendPool::on_open_failed(const core::Error& error) {
   const bool answers = error.kind == core::ErrorKind::kOverloaded;
   if (answers) {
-    note_refused_opening();
+    on_opening_refused();
   } else {
     health_.on_connect_failed(core::BootClock::now());
   }
@@ -343,26 +344,26 @@
 
 /// The database has reached its connection limit. Other daemons see the same refusals, so all of them close
 /// idle connections sooner.
-void BackendPool::note_refused_opening() {
+void BackendPool::on_opening_refused() {
   borrowed_idle_limit_ = std::max(kBorrowedIdleMin, borrowed_idle_limit_ / 2);
 }
 
-std::shared_ptr<PoolWaiter> BackendPool::take_next_waiter() {
+std::shared_ptr<PoolWaiter> BackendPool::pop_next_waiter() {
   const core::Instant now = core::BootClock::now();
-  const auto servable = [this](const LineEntry& entry) { return idle_.has_for(entry.tenant); };
-  const std::optional<WaiterNumber> next = line_.take_next(now, usual_latency_, servable);
+  const auto servable = [this](const QueueEntry& entry) { return idle_.has_connection_for(entry.tenant); };
+  const std::optional<WaiterNumber> next = queue_.take_next(now, average_latency_, servable);
   if (!next) {
     return nullptr;
   }
   const auto found = waiters_.find(*next);
   std::shared_ptr<PoolWaiter> waiter = std::move(found->second);
   waiters_.erase(found);
-  counters_.late_in_line += now + usual_latency_ > waiter->goal ? 1 : 0;
+  counters_.late_in_line += now + average_latency_ > waiter->goal ? 1 : 0;
   return waiter;
 }
 
-void BackendPool::hand_out(std::unique_ptr<PooledConnection> connection) {
-  if (closed_ || !connection->link->is_open()) {
+void BackendPool::make_available(std::unique_ptr<PooledConnection> connection) {
+  if (closed_ || !connection->backend->is_open()) {
     open_when_needed();
     return;
   }
@@ -373,52 +374,52 @@
   serve_waiters();
 }
 
-StatementsUnderWay BackendPool::under_way() const {
-  return StatementsUnderWay{in_use_.size() - transactions_, running_in_transactions_, opening_};
+StatementsInFlight BackendPool::in_flight() const {
+  return StatementsInFlight{in_use_.size() - open_transactions_, transaction_statements_, opening_};
 }
 
-bool BackendPool::may_run_another() const {
-  return concurrency_.has_room(under_way());
+bool BackendPool::may_start_statement() const {
+  return concurrency_.has_room(in_flight());
 }
 
-void BackendPool::end_in_transaction() {
-  --running_in_transactions_;
+void BackendPool::on_transaction_statement_ended() {
+  --transaction_statements_;
   serve_waiters();
 }
 
 /// Ignores connections being opened: they are meant for some of the waiters.
 bool BackendPool::may_hand_out() const {
-  StatementsUnderWay counted = under_way();
+  StatementsInFlight counted = in_flight();
   counted.opening = 0;
   return concurrency_.has_room(counted);
 }
 
 void BackendPool::serve_waiters() {
   idle_.drop_closed();
-  while (!line_.empty() && may_hand_out()) {
-    const std::shared_ptr<PoolWaiter> waiter = take_next_waiter();
+  while (!queue_.empty() && may_hand_out()) {
+    const std::shared_ptr<PoolWaiter> waiter = pop_next_waiter();
     if (!waiter) {
       break;
     }
     waiter->connection = idle_.take(waiter->tenant, waiter->session);
-    waiter->connection->charged = usual_latency_;
+    waiter->connection->charged_slot_time = average_latency_;
     note_in_use(*waiter->connection);
     waiter->timer.cancel();
   }
   open_when_needed();
 }
 
-void BackendPool::take_back(std::unique_ptr<PooledConnection> connection, bool reusable) {
+void BackendPool::return_connection(std::unique_ptr<PooledConnection> connection, bool reusable) {
   in_use_.erase(connection.get());
   if (!reusable) {
-    connection->link->close();
+    connection->backend->close();
   }
-  hand_out(std::move(connection));
+  make_available(std::move(connection));
 }
 
 void BackendPool::fail_waiters(const core::Error& error) {
   const auto waiters = std::exchange(waiters_, {});
-  line_.clear();
+  queue_.clear();
   for (const auto& [number, waiter] : waiters) {
     waiter->error = error;
     waiter->timer.cancel();
@@ -426,14 +427,14 @@
 }
 
 core::Duration BackendPool::expected_wait() const {
-  const auto before = static_cast<std::int64_t>(in_use_.size() + line_.size());
-  const core::Duration opening = idle_.empty() ? usual_opening_ : core::Duration::zero();
-  return opening + usual_latency_ + usual_latency_ * before / std::max<std::int64_t>(slots_, 1);
+  const auto before = static_cast<std::int64_t>(in_use_.size() + queue_.size());
+  const core::Duration opening = idle_.empty() ? average_opening_time_ : core::Duration::zero();
+  return opening + average_latency_ + average_latency_ * before / std::max<std::int64_t>(slots_, 1);
 }
 
 void BackendPool::note_latency(core::Duration taken) {
   latency_noted_ = true;
-  usual_latency_ += (taken - usual_latency_) / kLatencyWeight;
+  average_latency_ += (taken - average_latency_) / kLatencyAverageDivisor;
 }
 
 // --- Probes
@@ -446,42 +447,42 @@
     ++counters_.probes;
     boost::asio::co_spawn(io_, probe(shared_from_this()), boost::asio::detached);
   }
-  forget_latency();
-  demand_.forget_idle(now);
+  decay_latency();
+  demand_.drop_idle_tenants(now);
   open_when_needed();
-  give_back_borrowed(now);
+  close_idle_borrowed(now);
   open_ahead(now);
 }
 
 /// Lets the average latency decay while there are no replies. Otherwise no caller would choose a database
 /// that was once slow, and its recovery would go unnoticed.
-void BackendPool::forget_latency() {
+void BackendPool::decay_latency() {
   if (!latency_noted_) {
-    usual_latency_ -= (usual_latency_ - kFirstLatency) / kForgottenPart;
+    average_latency_ -= (average_latency_ - kInitialLatency) / kLatencyDecayDivisor;
   }
   latency_noted_ = false;
 }
 
 /// Uses a new connection: an existing one may hang although the database is healthy.
 awaitable<void> BackendPool::probe(std::shared_ptr<BackendPool> self) {
-  auto link = co_await self->connector_.connect(self->address_, kDoubtProbeTimeout);
-  bool answered = link.has_value();
+  auto backend = co_await self->connector_.connect(self->address_, kDoubtProbeTimeout);
+  bool answered = backend.has_value();
   bool refused = false;
-  if (!link) {
-    answered = link.error().kind == core::ErrorKind::kOverloaded;
-    refused = link.error().kind == core::ErrorKind::kConnectionRefused;
+  if (!backend) {
+    answered = backend.error().kind == core::ErrorKind::kOverloaded;
+    refused = backend.error().kind == core::ErrorKind::kConnectionRefused;
   }
   self->health_.on_probe(core::BootClock::now(), answered, refused);
   if (!self->health_.usable()) {
-    self->cut_off_expendable();
+    self->close_retryable();
   }
 }
 
-void BackendPool::cut_off_expendable() {
+void BackendPool::close_retryable() {
   idle_.clear();
   for (PooledConnection* connection : in_use_) {
-    if (connection->expendable) {
-      connection->link->close();
+    if (connection->retryable) {
+      connection->backend->close();
     }
   }
   fail_waiters(core::Error{core::ErrorKind::kConnectionRefused, "The database can't be reached.",
--- a/src/pooling/backend_pool.hpp
+++ b/src/pooling/backend_pool.hpp
@@ -56,7 +56,7 @@
   std::uint64_t waited_instead = 0;  ///< Statements that were made to wait for a connection of their tenant
                                      ///< in use instead of opening one.
   std::uint64_t broke = 0;
-  std::uint64_t waited_in_vain = 0;
+  std::uint64_t wait_timeouts = 0;
   std::uint64_t displaced = 0;     ///< Statements removed from a full queue in favour of more urgent ones.
   std::uint64_t line_full = 0;     ///< Statements rejected by a queue full of statements that go before them.
   std::uint64_t late_in_line = 0;  ///< Statements that got a connection too late to meet their goal.
@@ -111,7 +111,7 @@
     return health_.usable() && (connected || !last_open_failed_);
   }
   [[nodiscard]] std::size_t in_use() const { return in_use_.size(); }
-  [[nodiscard]] std::size_t waiting() const { return line_.size(); }
+  [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
   /// Expected time until the next request is answered: average latency, and that of the requests ahead of it.
   [[nodiscard]] core::Duration expected_wait() const;
   /// Records the time from sending a statement to its reply.
@@ -125,43 +125,44 @@
   friend class ConnectionLease;
 
   /// Adds the request to the queue. A request that was rejected has its error set.
-  std::shared_ptr<PoolWaiter> join_line(const ConnectionRequest& request);
-  void refuse_waiter(WaiterNumber number, const LineEntry& newest, const char* reason);
-  void note_slot_time(PooledConnection& connection, core::Duration taken);
+  std::shared_ptr<PoolWaiter> enqueue(const ConnectionRequest& request);
+  void reject_waiter(WaiterNumber number, const QueueEntry& newest, const char* reason);
+  void charge_slot_time(PooledConnection& connection, core::Duration taken);
   void note_in_use(PooledConnection& connection);
   /// The first waiter for which a connection should be opened; null: none.
-  [[nodiscard]] std::shared_ptr<PoolWaiter> next_to_open_for();
+  [[nodiscard]] std::shared_ptr<PoolWaiter> next_waiter_to_open_for();
   [[nodiscard]] bool should_open_for(const PoolWaiter& waiter, std::size_t waiting_before,
-                                     std::size_t coming_back) const;
+                                     std::size_t soon_free) const;
   /// Number of the tenant's connections that run a statement outside a transaction and are not overdue.
-  [[nodiscard]] std::size_t coming_back(const core::TenantName& tenant) const;
+  [[nodiscard]] std::size_t soon_free(const core::TenantName& tenant) const;
   /// Schedules another check after the average opening time: connections that were expected to become free
   /// may be overdue by then.
-  void check_openings_later();
+  void schedule_openings_check();
   /// Makes sure that one more connection may be opened, closing an idle one if need be. False when all
   /// connections that may be held are in use or being opened.
   bool make_room();
   void open_when_needed();
   void open_ahead(core::Instant now);
-  void give_back_borrowed(core::Instant now);
-  void begin_to_open(core::TenantName tenant);
-  static boost::asio::awaitable<void> open_one(std::shared_ptr<BackendPool> self, core::TenantName tenant);
+  void close_idle_borrowed(core::Instant now);
+  void start_opening(core::TenantName tenant);
+  static boost::asio::awaitable<void> open_connection(std::shared_ptr<BackendPool> self,
+                                                      core::TenantName tenant);
   void on_open_failed(const core::Error& error);
   /// Removes the next waiter for which there is a suitable idle connection; null: none.
-  std::shared_ptr<PoolWaiter> take_next_waiter();
-  [[nodiscard]] StatementsUnderWay under_way() const;
-  [[nodiscard]] bool may_run_another() const;
+  std::shared_ptr<PoolWaiter> pop_next_waiter();
+  [[nodiscard]] StatementsInFlight in_flight() const;
+  [[nodiscard]] bool may_start_statement() const;
   [[nodiscard]] bool may_hand_out() const;
-  void begin_in_transaction() { ++running_in_transactions_; }
-  void end_in_transaction();
+  void on_transaction_statement_started() { ++transaction_statements_; }
+  void on_transaction_statement_ended();
   void serve_waiters();
-  void hand_out(std::unique_ptr<PooledConnection> connection);
-  void take_back(std::unique_ptr<PooledConnection> connection, bool reusable);
+  void make_available(std::unique_ptr<PooledConnection> connection);
+  void return_connection(std::unique_ptr<PooledConnection> connection, bool reusable);
   void fail_waiters(const core::Error& error);
   static boost::asio::awaitable<void> probe(std::shared_ptr<BackendPool> self);
-  void cut_off_expendable();
-  void note_refused_opening();
-  void forget_latency();
+  void close_retryable();
+  void on_opening_refused();
+  void decay_latency();
 
   boost::asio::io_context& io_;
   BackendConnector& connector_;
@@ -171,25 +172,25 @@
   ConnectionShare share_;
   std::uint32_t slots_ = 1;
   ConcurrencyLimit concurrency_;
-  std::size_t transactions_ = 0;             ///< Connections in use by a transaction.
-  std::size_t running_in_transactions_ = 0;  ///< Statements in flight on connections in a transaction.
+  std::size_t open_transactions_ = 0;       ///< Connections in use by a transaction.
+  std::size_t transaction_statements_ = 0;  ///< Statements in flight on connections in a transaction.
   bool closed_ = false;
   std::size_t opening_ = 0;
   std::map<core::TenantName, std::size_t> opening_for_;  ///< Connections being opened, by tenant.
   bool last_open_failed_ = false;
-  core::Instant next_open_{};
+  core::Instant next_open_attempt_{};
   boost::asio::steady_timer openings_check_;
-  bool openings_check_set_ = false;
+  bool openings_check_scheduled_ = false;
   core::Instant next_warm_up_{};
   core::Duration borrowed_idle_limit_;  ///< Idle time after which a connection beyond `kept` is closed.
   IdleConnections idle_;
   std::set<PooledConnection*> in_use_;
-  StatementLine line_;
+  StatementQueue queue_;
   std::map<WaiterNumber, std::shared_ptr<PoolWaiter>> waiters_;  ///< The requests in the queue.
   WaiterNumber last_waiter_ = 0;
-  core::Duration usual_latency_;
+  core::Duration average_latency_;
   bool latency_noted_ = false;  ///< A latency was recorded since the last tick.
-  core::Duration usual_opening_;
+  core::Duration average_opening_time_;
   ReplicaReach reach_;
   TenantDemand demand_;
   PoolCounters counters_;
--- a/src/pooling/backends.cpp
+++ b/src/pooling/backends.cpp
@@ -15,11 +15,11 @@
       forwarder_(io, self_, zone_),
       rounds_(io, [this](std::shared_ptr<BackendPool> pool,
                          core::Duration timeout) { return ask_status(std::move(pool), timeout); }),
-      questions_(io) {
-  rounds_.on_shown(
-      [this](const core::GroupName& group, const ShownPrimary& shown) { note_shown(group, shown); });
-  questions_.on_told(
-      [this](const core::GroupName& group, const ShownPrimary& shown) { rounds_.note_told(group, shown); });
+      proof_requests_(io) {
+  rounds_.on_proof(
+      [this](const core::GroupName& group, const ShownPrimary& shown) { note_proof(group, shown); });
+  proof_requests_.on_proof(
+      [this](const core::GroupName& group, const ShownPrimary& shown) { rounds_.add_proof(group, shown); });
 }
 
 // --- Configuration
@@ -74,7 +74,7 @@
     }
   }
   view.term = term;
-  view.acknowledges_by_receipt = group.sync_replicas > 0;
+  view.synchronous_replication = group.sync_replicas > 0;
   view.primary = group.terms.empty() ? core::DatabaseId() : group.terms.back().primary;
 }
 
@@ -100,7 +100,7 @@
     }
   }
   forwarder_.tick(now);
-  note_missing_primaries(now);
+  track_missing_primaries(now);
   report_suspicions(now);
 }
 
--- a/src/pooling/backends.hpp
+++ b/src/pooling/backends.hpp
@@ -93,7 +93,7 @@
   [[nodiscard]] std::optional<BackendChoice> as_chosen(const core::DatabaseId& database) const;
 
   /// True when a read may go to the primary because no position is known with which another database could
-  /// serve it. One read in kSeekInterval is enough: its reply gives a position for all others.
+  /// serve it. One read in kPositionRefreshInterval is enough: its reply gives a position for all others.
   bool take_position_seek(const core::GroupName& group, core::Instant now);
   /// False while this daemon has no valid lease from control. A reply alone then does not prove that the
   /// database is still the primary.
@@ -109,8 +109,10 @@
   /// holds every write acknowledged before `moment`.
   [[nodiscard]] bool primary_shown_since(const core::GroupName& group, core::Instant moment) const;
   /// When the newest round that proved any group's primary began; the clock's epoch before the first.
-  [[nodiscard]] core::Instant last_shown_primary() const { return last_shown_; }
-  [[nodiscard]] const QuestionCounters& primary_questions() const { return questions_.counters(); }
+  [[nodiscard]] core::Instant last_shown_primary() const { return last_proof_; }
+  [[nodiscard]] const ProofRequestCounters& proof_request_counters() const {
+    return proof_requests_.counters();
+  }
   [[nodiscard]] const RoundCounters& rounds() const { return rounds_.counters(); }
 
   /// How long this daemon has had no primary of the group that is both reachable and certain; zero while it
@@ -137,11 +139,12 @@
     std::map<core::DatabaseId, Member> members;
     core::DatabaseId primary;  ///< Empty while a change of primary is in progress.
     core::Term term = 0;
-    bool acknowledges_by_receipt = false;  ///< A write is acknowledged only after a replica has received it.
+    bool synchronous_replication = false;  ///< A write is acknowledged only after a replica has received it.
     PrimaryPositions positions;
-    std::optional<core::Instant> last_seek;  ///< When a read last went to the primary to learn a position.
-    bool position_asked = false;             ///< A position request to an owner of the primary is in flight.
-    core::Instant next_position_ask{};
+    /// When a read last went to the primary to learn a position.
+    std::optional<core::Instant> last_position_refresh;
+    bool position_request_in_flight = false;  ///< A position request to an owner of the primary is in flight.
+    core::Instant next_position_request{};
     std::optional<core::Instant> without_primary_since;
   };
 
@@ -151,14 +154,14 @@
                                           const protocol::Database& database,
                                           const std::vector<core::DaemonId>& owners, bool primary) const;
   [[nodiscard]] bool owns(const std::vector<core::DaemonId>& owners) const;
-  void note_missing_primaries(core::Instant now);
+  void track_missing_primaries(core::Instant now);
   boost::asio::awaitable<core::Result<BackendStatus>> ask_status(std::shared_ptr<BackendPool> pool,
                                                                  core::Duration timeout);
   [[nodiscard]] std::optional<RoundSubject> round_subject(const core::GroupName& group,
                                                           core::Instant now) const;
-  bool ask_owners_of_primary(const core::GroupName& group, core::Instant moment, core::Instant now);
-  void note_shown(const core::GroupName& group, const ShownPrimary& shown);
-  [[nodiscard]] bool recently_certain(const core::GroupName& group, core::Instant now) const;
+  bool request_proof_from_owners(const core::GroupName& group, core::Instant moment, core::Instant now);
+  void note_proof(const core::GroupName& group, const ShownPrimary& shown);
+  [[nodiscard]] bool primary_recently_certain(const core::GroupName& group, core::Instant now) const;
   void report_suspicions(core::Instant now);
   void log_suspicions(const std::map<core::DatabaseId, protocol::Suspicion>& suspicions);
   [[nodiscard]] const GroupView* find(const core::GroupName& group) const;
@@ -167,10 +170,10 @@
   [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view, const BackendNeed& need,
                                                             core::Instant now) const;
   /// True when another owner of the database can be reached and may have a connection to it.
-  [[nodiscard]] bool others_serve(const BackendPool& pool, core::Instant now) const;
-  [[nodiscard]] bool should_pass_on(const BackendPool& pool, core::Instant now) const;
-  [[nodiscard]] bool belongs_to_another(const BackendPool& pool, const ConnectionRequest& request,
-                                        core::Instant now) const;
+  [[nodiscard]] bool other_owners_reachable(const BackendPool& pool, core::Instant now) const;
+  [[nodiscard]] bool should_forward(const BackendPool& pool, core::Instant now) const;
+  [[nodiscard]] bool prefers_another_owner(const BackendPool& pool, const ConnectionRequest& request,
+                                           core::Instant now) const;
   [[nodiscard]] core::Duration cost(const BackendPool& pool) const;
 
   boost::asio::io_context& io_;
@@ -180,8 +183,8 @@
   core::ZoneName zone_;
   StatementForwarder forwarder_;
   PrimaryRounds rounds_;
-  PrimaryQuestions questions_;
-  core::Instant last_shown_{};
+  PrimaryProofRequests proof_requests_;
+  core::Instant last_proof_{};
   std::map<core::GroupName, GroupView> groups_;
   std::map<core::DatabaseId, protocol::Suspicion> suspicions_;  ///< As last logged.
   bool closed_ = false;
@@ -190,16 +193,16 @@
 /// Interval of calls to Backends::tick.
 inline constexpr core::Duration kBackendsTick = std::chrono::milliseconds(50);
 /// Between reads that go to a primary because no position is known.
-inline constexpr core::Duration kSeekInterval = std::chrono::milliseconds(40);
+inline constexpr core::Duration kPositionRefreshInterval = std::chrono::milliseconds(40);
 /// A reply to a position request takes at most two trips between zones; a later one is not worth waiting for.
 inline constexpr core::Duration kPositionTimeout = std::chrono::milliseconds(60);
 /// After a request that brought no positions, none is sent for this long: reads that go to the primary teach
 /// this daemon positions meanwhile.
-inline constexpr core::Duration kPositionAskRest = std::chrono::milliseconds(250);
+inline constexpr core::Duration kPositionRequestBackoff = std::chrono::milliseconds(250);
 /// A primary counts as known for this long after the round that proved it began.
-inline constexpr core::Duration kShownRecently = std::chrono::milliseconds(1000);
+inline constexpr core::Duration kRecentProofAge = std::chrono::milliseconds(1000);
 /// Cost of a database in another zone, as an equivalent wait: traffic between zones is charged for.
-inline constexpr core::Duration kOtherZoneCost = std::chrono::milliseconds(40);
+inline constexpr core::Duration kCrossZoneCost = std::chrono::milliseconds(40);
 /// Cost of a read at the primary, as an equivalent wait: the primary's capacity is needed for writes.
 inline constexpr core::Duration kPrimaryReadCost = std::chrono::milliseconds(10);
 
--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -29,13 +29,13 @@
     return std::nullopt;
   }
   const BackendPool& pool = *primary->second.pool;
-  if (!pool.health().usable() && !others_serve(pool, now)) {
+  if (!pool.health().usable() && !other_owners_reachable(pool, now)) {
     return std::nullopt;
   }
   return BackendChoice{primary->second.pool, true, view.term};
 }
 
-bool Backends::others_serve(const BackendPool& pool, core::Instant now) const {
+bool Backends::other_owners_reachable(const BackendPool& pool, core::Instant now) const {
   const core::DatabaseId& database = pool.address().database;
   return forwarder_.reaches(agent_.owner_table().owners(database), database, now);
 }
@@ -43,14 +43,14 @@
 /// True when statements must go through another owner: this daemon owns no connections to the database, or
 /// has none and can't open one now, because it is partitioned from the database or because the database still
 /// counts connections of lost machines against its limit.
-bool Backends::should_pass_on(const BackendPool& pool, core::Instant now) const {
+bool Backends::should_forward(const BackendPool& pool, core::Instant now) const {
   const bool serves_itself = owns(agent_.owner_table().owners(pool.address().database)) && pool.can_serve();
-  return !serves_itself && others_serve(pool, now);
+  return !serves_itself && other_owners_reachable(pool, now);
 }
 
 /// Statements of one tenant are directed to the same owner nearby, also those that arrive at other owners.
-bool Backends::belongs_to_another(const BackendPool& pool, const ConnectionRequest& request,
-                                  core::Instant now) const {
+bool Backends::prefers_another_owner(const BackendPool& pool, const ConnectionRequest& request,
+                                     core::Instant now) const {
   if (!request.tenant || request.tenant->empty()) {
     return false;
   }
@@ -90,13 +90,13 @@
 }
 
 core::Duration Backends::cost(const BackendPool& pool) const {
-  return pool.expected_wait() + (pool.zone() == zone_ ? core::Duration::zero() : kOtherZoneCost);
+  return pool.expected_wait() + (pool.zone() == zone_ ? core::Duration::zero() : kCrossZoneCost);
 }
 
 boost::asio::awaitable<core::Result<std::unique_ptr<StatementLease>>> Backends::acquire(
     BackendChoice choice, ConnectionRequest request) {
   const core::Instant now = core::BootClock::now();
-  if (should_pass_on(*choice.pool, now) || belongs_to_another(*choice.pool, request, now)) {
+  if (should_forward(*choice.pool, now) || prefers_another_owner(*choice.pool, request, now)) {
     const core::DatabaseId& database = choice.pool->address().database;
     co_return forwarder_.lease(choice.pool, agent_.owner_table().owners(database), request);
   }
--- a/src/pooling/backends_positions.cpp
+++ b/src/pooling/backends_positions.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-AgedPosition aged(const ShownPosition& shown, core::Instant now) {
+AgedPosition to_aged(const ReportedPosition& shown, core::Instant now) {
   return AgedPosition{told_age_ms(now - shown.sent), shown.position};
 }
 
@@ -37,7 +37,7 @@
 void Backends::note_position(const core::GroupName& group, const BackendChoice& choice, core::Instant sent,
                              core::Instant now, const core::LogPosition& position) {
   if (surely_primary(group, choice, now)) {
-    groups_.at(group).positions.note(sent, position);
+    groups_.at(group).positions.record(sent, position);
   }
 }
 
@@ -48,28 +48,28 @@
 void Backends::note_acknowledged_write(const core::GroupName& group, const BackendChoice& choice,
                                        core::Instant sent, const core::LogPosition& position) {
   const auto found = groups_.find(group);
-  const bool proves = found != groups_.end() && found->second.acknowledges_by_receipt && choice.is_primary;
-  if (proves) {
-    found->second.positions.note(sent, position);
+  const bool is_proof = found != groups_.end() && found->second.synchronous_replication && choice.is_primary;
+  if (is_proof) {
+    found->second.positions.record(sent, position);
   }
 }
 
 void Backends::ask_databases(const core::GroupName& group, core::Instant moment, core::Instant now) {
   const std::optional<RoundSubject> subject = round_subject(group, now);
-  if (subject && !ask_owners_of_primary(group, moment, now)) {
+  if (subject && !request_proof_from_owners(group, moment, now)) {
     rounds_.ask(now, *subject);
   }
 }
 
 std::optional<RoundSubject> Backends::round_subject(const core::GroupName& group, core::Instant now) const {
   const GroupView* view = find(group);
-  const bool may_ask = view != nullptr && view->acknowledges_by_receipt;
+  const bool may_ask = view != nullptr && view->synchronous_replication;
   if (!may_ask || !view->members.contains(view->primary)) {
     return std::nullopt;
   }
   RoundSubject subject{group, view->primary, {}, view->members.size()};
   for (const auto& [id, member] : view->members) {
-    const bool reachable = member.pool->health().usable() || others_serve(*member.pool, now);
+    const bool reachable = member.pool->health().usable() || other_owners_reachable(*member.pool, now);
     if (!member.departed && reachable) {
       subject.pools.push_back(member.pool);
     }
@@ -78,25 +78,26 @@
 }
 
 /// Returns false when this daemon must ask the databases itself.
-bool Backends::ask_owners_of_primary(const core::GroupName& group, core::Instant moment, core::Instant now) {
+bool Backends::request_proof_from_owners(const core::GroupName& group, core::Instant moment,
+                                         core::Instant now) {
   const GroupView& view = groups_.at(group);
   const std::shared_ptr<BackendPool>& pool = view.members.at(view.primary).pool;
-  if (!should_pass_on(*pool, now)) {
+  if (!should_forward(*pool, now)) {
     return false;
   }
   const AskOwner ask_owner = [this, pool](std::vector<core::DaemonId>& tried, ShownPrimaryRequest request) {
     const std::vector<core::DaemonId>& owners = agent_.owner_table().owners(pool->address().database);
     return forwarder_.shown_primary(pool, owners, tried, std::move(request));
   };
-  return questions_.ask(now, moment, QuestionSubject{group, {view.primary, view.term}, ask_owner});
+  return proof_requests_.ask(now, moment, ProofRequestSubject{group, {view.primary, view.term}, ask_owner});
 }
 
 boost::asio::awaitable<core::Result<ShownPrimaryReply>> Backends::show_primary(ShownPrimaryRequest request) {
   const core::Instant arrived = core::BootClock::now();
-  const core::Instant earliest = earliest_round(request, arrived);
+  const core::Instant earliest = earliest_round_start(request, arrived);
   const core::Duration most =
-      std::min<core::Duration>(std::chrono::milliseconds(request.timeout_ms), kOwnersProofTimeout);
-  const SubjectSource subject = [this, group = request.group](core::Instant now) {
+      std::min<core::Duration>(std::chrono::milliseconds(request.timeout_ms), kOwnerProofTimeout);
+  const RoundSubjectSource subject = [this, group = request.group](core::Instant now) {
     return round_subject(group, now);
   };
   const auto shown = co_await rounds_.await_shown(request.group, subject, earliest, arrived + most);
@@ -106,23 +107,23 @@
                          "The databases did not prove which of them is the primary in time.",
                          "Ask another owner, or the databases themselves.");
   }
-  co_return told(*shown, view->term, arrived);
+  co_return make_reply(*shown, view->term, arrived);
 }
 
 boost::asio::awaitable<core::Result<BackendStatus>> Backends::ask_status(std::shared_ptr<BackendPool> pool,
                                                                          core::Duration timeout) {
-  if (should_pass_on(*pool, core::BootClock::now())) {
+  if (should_forward(*pool, core::BootClock::now())) {
     const core::DatabaseId& database = pool->address().database;
     return forwarder_.status(std::move(pool), agent_.owner_table().owners(database), timeout);
   }
   return BackendPool::ask_status(std::move(pool), timeout);
 }
 
-void Backends::note_shown(const core::GroupName& group, const ShownPrimary& shown) {
-  last_shown_ = std::max(last_shown_, shown.begun);
+void Backends::note_proof(const core::GroupName& group, const ShownPrimary& shown) {
+  last_proof_ = std::max(last_proof_, shown.begun);
   const auto found = groups_.find(group);
   if (found != groups_.end()) {
-    found->second.positions.note(shown.begun, shown.position);
+    found->second.positions.record(shown.begun, shown.position);
   }
 }
 
@@ -132,46 +133,47 @@
   return view != nullptr && shown != nullptr && shown->primary == view->primary && shown->begun >= moment;
 }
 
-bool Backends::recently_certain(const core::GroupName& group, core::Instant now) const {
-  return agent_.lease_valid(now) || primary_shown_since(group, now - kShownRecently);
+bool Backends::primary_recently_certain(const core::GroupName& group, core::Instant now) const {
+  return agent_.lease_valid(now) || primary_shown_since(group, now - kRecentProofAge);
 }
 
 boost::asio::awaitable<void> Backends::ask_position(core::GroupName group, core::Duration staleness) {
   const core::Instant asked = core::BootClock::now();
   const auto found = groups_.find(group);
-  if (found == groups_.end() || found->second.position_asked || asked < found->second.next_position_ask) {
+  if (found == groups_.end() || found->second.position_request_in_flight ||
+      asked < found->second.next_position_request) {
     co_return;
   }
   const auto primary = found->second.members.find(found->second.primary);
   const core::Duration most_age = staleness - kLongestForwardWait - kPositionTimeout;
   const bool useful = primary != found->second.members.end() && most_age > core::Duration::zero() &&
-                      should_pass_on(*primary->second.pool, asked);
+                      should_forward(*primary->second.pool, asked);
   if (!useful) {
     co_return;
   }
-  found->second.position_asked = true;
+  found->second.position_request_in_flight = true;
   const std::shared_ptr<BackendPool> pool = primary->second.pool;
   const PositionRequest request{group, static_cast<std::uint32_t>(core::to_millis(most_age))};
   const auto reply = co_await forwarder_.positions(
       pool, agent_.owner_table().owners(pool->address().database), request, kPositionTimeout);
-  const auto still = groups_.find(group);
-  if (still == groups_.end()) {
+  const auto view_after = groups_.find(group);
+  if (view_after == groups_.end()) {
     co_return;
   }
-  still->second.position_asked = false;
+  view_after->second.position_request_in_flight = false;
   if (!reply || reply.value().positions.empty()) {
-    still->second.next_position_ask = core::BootClock::now() + kPositionAskRest;
+    view_after->second.next_position_request = core::BootClock::now() + kPositionRequestBackoff;
     co_return;
   }
   // Ages count from when the request was sent, since the owner counted them from its later arrival.
   for (const AgedPosition& known : reply.value().positions) {
-    still->second.positions.note(asked - std::chrono::milliseconds(known.age_ms), known.position);
+    view_after->second.positions.record(asked - std::chrono::milliseconds(known.age_ms), known.position);
   }
 }
 
 bool Backends::awaits_position(const core::GroupName& group) const {
   const GroupView* view = find(group);
-  return view != nullptr && view->position_asked;
+  return view != nullptr && view->position_request_in_flight;
 }
 
 PositionReply Backends::known_positions(const PositionRequest& request, core::Instant now) const {
@@ -181,14 +183,14 @@
     return reply;
   }
   const core::Duration most_age = std::chrono::milliseconds(request.max_age_ms);
-  const ShownPosition* oldest = view->positions.oldest_covering(now - countable_age(most_age));
+  const ReportedPosition* oldest = view->positions.oldest_covering(now - countable_age(most_age));
   if (oldest == nullptr) {
     return reply;
   }
-  reply.positions.push_back(aged(*oldest, now));
-  const ShownPosition* newest = view->positions.newest();
+  reply.positions.push_back(to_aged(*oldest, now));
+  const ReportedPosition* newest = view->positions.newest();
   if (newest != oldest) {
-    reply.positions.push_back(aged(*newest, now));
+    reply.positions.push_back(to_aged(*newest, now));
   }
   return reply;
 }
@@ -198,8 +200,8 @@
   if (found == groups_.end()) {
     return true;
   }
-  std::optional<core::Instant>& last = found->second.last_seek;
-  if (last && now - *last < kSeekInterval) {
+  std::optional<core::Instant>& last = found->second.last_position_refresh;
+  if (last && now - *last < kPositionRefreshInterval) {
     return false;
   }
   last = now;
--- a/src/pooling/backends_shares.cpp
+++ b/src/pooling/backends_shares.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Connections that a daemon may open to a database that it does not own, when no owner can be reached.
-constexpr std::uint32_t kConnectionsOfOthers = 1;
+constexpr std::uint32_t kConnectionsOfNonOwners = 1;
 
 }  // namespace
 
@@ -16,17 +16,17 @@
 /// would take quadratic time.
 void Backends::set_shares(const protocol::Configuration& configuration) {
   const auto self = configuration.daemons.find(self_);
-  const bool takes_part =
+  const bool is_live =
       self != configuration.daemons.end() && self->second.state == protocol::DaemonState::kLive && !closed_;
   for (const auto& [name, group] : configuration.groups) {
     GroupView& view = groups_.at(name);
     for (const protocol::Database& database : group.databases) {
       ConnectionShare share;
       const std::vector<core::DaemonId>& owners = agent_.owner_table().owners(database.id);
-      if (takes_part && owns(owners)) {
+      if (is_live && owns(owners)) {
         share = own_share(configuration, database, owners, view.primary == database.id);
-      } else if (takes_part) {
-        share.most = kConnectionsOfOthers;
+      } else if (is_live) {
+        share.most = kConnectionsOfNonOwners;
       }
       view.members.at(database.id).pool->set_share(share);
     }
@@ -49,7 +49,7 @@
   place.near_owners = static_cast<std::size_t>(std::count_if(owners.begin(), owners.end(), is_near));
   place.is_near = zone_ == database.zone;
   place.primary = primary;
-  return tenants_share_of(capacity, place);
+  return tenant_share_of(capacity, place);
 }
 
 bool Backends::owns(const std::vector<core::DaemonId>& owners) const {
--- a/src/pooling/backends_suspicions.cpp
+++ b/src/pooling/backends_suspicions.cpp
@@ -6,12 +6,12 @@
 
 namespace pipitpond::pooling {
 
-void Backends::note_missing_primaries(core::Instant now) {
+void Backends::track_missing_primaries(core::Instant now) {
   for (auto& [name, view] : groups_) {
     const auto primary = view.members.find(view.primary);
-    const bool usable = primary != view.members.end() &&
-                        (primary->second.pool->health().usable() || others_serve(*primary->second.pool, now));
-    if (usable && recently_certain(name, now)) {
+    const bool usable = primary != view.members.end() && (primary->second.pool->health().usable() ||
+                                                          other_owners_reachable(*primary->second.pool, now));
+    if (usable && primary_recently_certain(name, now)) {
       view.without_primary_since.reset();
     } else if (!view.without_primary_since) {
       view.without_primary_since = now;
--- a/src/pooling/concurrency_limit.hpp
+++ b/src/pooling/concurrency_limit.hpp
@@ -11,7 +11,7 @@
 namespace pipitpond::pooling {
 
 /// What one daemon has in flight at one database.
-struct StatementsUnderWay {
+struct StatementsInFlight {
   std::size_t outside = 0;          ///< Statements outside transactions.
   std::size_t in_transactions = 0;  ///< Statements in transactions; an idle transaction has none.
   std::size_t opening = 0;          ///< Connections being opened.
@@ -32,19 +32,19 @@
   /// True when one more statement outside a transaction may start. Statements in transactions are not subject
   /// to the limit, because refusing them would waste the work that the database has already done; but they
   /// occupy slots and count against new statements.
-  [[nodiscard]] bool has_room(const StatementsUnderWay& under_way) const;
+  [[nodiscard]] bool has_room(const StatementsInFlight& in_flight) const;
   /// Average latency of the newest replies.
-  [[nodiscard]] core::Duration recent() const { return recent_; }
-  [[nodiscard]] core::Duration unhindered() const { return unhindered_; }
+  [[nodiscard]] core::Duration average_latency() const { return average_latency_; }
+  [[nodiscard]] core::Duration baseline_latency() const { return baseline_latency_; }
 
  private:
   void decrease(core::Instant now);
 
   double limit_ = 1;
   double most_ = 1;
-  bool begun_ = false;  ///< Bounds have been set.
-  core::Duration recent_ = std::chrono::milliseconds(10);
-  core::Duration unhindered_ = std::chrono::milliseconds(10);
+  bool initialized_ = false;  ///< Bounds have been set.
+  core::Duration average_latency_ = std::chrono::milliseconds(10);
+  core::Duration baseline_latency_ = std::chrono::milliseconds(10);
   core::Instant next_decrease_{};
 };
 
--- a/src/pooling/connection_lease.cpp
+++ b/src/pooling/connection_lease.cpp
@@ -25,12 +25,12 @@
 }
 
 ConnectionLease::~ConnectionLease() {
-  give_back();
+  return_to_pool();
 }
 
 ConnectionLease& ConnectionLease::operator=(ConnectionLease&& other) noexcept {
   if (this != &other) {
-    give_back();
+    return_to_pool();
     pool_ = std::move(other.pool_);
     connection_ = std::move(other.connection_);
     in_transaction_ = other.in_transaction_;
@@ -38,11 +38,11 @@
   return *this;
 }
 
-void ConnectionLease::give_back() {
+void ConnectionLease::return_to_pool() {
   if (connection_) {
     const bool reusable = !in_transaction_;
     set_in_transaction(false);
-    pool_->take_back(std::move(connection_), reusable);
+    pool_->return_connection(std::move(connection_), reusable);
   }
 }
 
@@ -53,15 +53,15 @@
   in_transaction_ = in_transaction;
   connection_->in_transaction = in_transaction;
   if (in_transaction) {
-    ++pool_->transactions_;
+    ++pool_->open_transactions_;
     pool_->serve_waiters();
   } else {
-    --pool_->transactions_;
+    --pool_->open_transactions_;
   }
 }
 
 void ConnectionLease::discard() {
-  connection_->link->close();
+  connection_->backend->close();
 }
 
 awaitable<core::Result<StatementReply>> ConnectionLease::run(const SessionState& session,
@@ -87,20 +87,20 @@
                                                                    core::Duration timeout) {
   const Statement& asked = batch.back().statement;
   const bool reads_alone = !in_transaction_ && !writes(asked);
-  connection_->expendable = reads_alone;
+  connection_->retryable = reads_alone;
   connection_->in_transaction = in_transaction_ || begins_transaction(asked);
   const core::Instant sent = core::BootClock::now();
   BackendHealth& health = pool_->health_;
   const BatchNumber number = health.on_sent(sent, writes(asked));
-  const bool within = in_transaction_;
-  if (within) {
-    pool_->begin_in_transaction();
+  const bool was_in_transaction = in_transaction_;
+  if (was_in_transaction) {
+    pool_->on_transaction_statement_started();
   }
-  auto replies = co_await connection_->link->run(std::move(batch), timeout);
-  if (within) {
-    pool_->end_in_transaction();
+  auto replies = co_await connection_->backend->run(std::move(batch), timeout);
+  if (was_in_transaction) {
+    pool_->on_transaction_statement_ended();
   }
-  connection_->expendable = false;
+  connection_->retryable = false;
   const core::Instant now = core::BootClock::now();
   if (!replies) {
     const bool broke = replies.error().kind != core::ErrorKind::kTimeout;
@@ -110,10 +110,10 @@
   }
   health.on_answered(now, number);
   pool_->note_latency(now - sent);
-  pool_->note_slot_time(*connection_, now - sent);
+  pool_->charge_slot_time(*connection_, now - sent);
   for (std::size_t before = 0; before + 1 < replies.value().size(); ++before) {
     if (replies.value()[before].failure) {
-      connection_->link->close();
+      connection_->backend->close();
       co_return core::fail(core::ErrorKind::kConnectionLost,
                            "The session's state could not be restored on the connection.",
                            "Run the statement on another connection.");
@@ -132,9 +132,9 @@
 
 awaitable<core::Result<BackendStatus>> ConnectionLease::status(core::Duration timeout) {
   const BatchNumber number = pool_->health_.on_sent(core::BootClock::now(), false);
-  auto status = co_await connection_->link->status(std::max(timeout, core::Duration::zero()));
+  auto status = co_await connection_->backend->status(std::max(timeout, core::Duration::zero()));
   const core::Instant now = core::BootClock::now();
-  const bool answered = status || connection_->link->is_open();
+  const bool answered = status || connection_->backend->is_open();
   if (answered) {
     pool_->health_.on_answered(now, number);
   } else {
--- a/src/pooling/connection_lease.hpp
+++ b/src/pooling/connection_lease.hpp
@@ -47,7 +47,7 @@
  private:
   boost::asio::awaitable<core::Result<StatementReply>> run_batch(std::vector<BackendStatement> batch,
                                                                  core::Duration timeout);
-  void give_back();
+  void return_to_pool();
   void set_in_transaction(bool in_transaction);
 
   std::shared_ptr<BackendPool> pool_;
--- a/src/pooling/connection_share.hpp
+++ b/src/pooling/connection_share.hpp
@@ -51,6 +51,6 @@
 /// primary's statements come from all zones, through fewer owners in each of the other zones; these get twice
 /// the part of near ones. With equal parts, half of a replica's connections would belong to owners that the
 /// callers of its zone do not use.
-ConnectionShare tenants_share_of(const DatabaseCapacity& capacity, const OwnerPlace& place);
+ConnectionShare tenant_share_of(const DatabaseCapacity& capacity, const OwnerPlace& place);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/freshness.hpp
+++ b/src/pooling/freshness.hpp
@@ -14,7 +14,7 @@
 namespace pipitpond::pooling {
 
 /// A position that the primary reported, and when the request was sent that it replies to.
-struct ShownPosition {
+struct ReportedPosition {
   core::Instant sent;
   core::LogPosition position;
 };
@@ -24,22 +24,22 @@
  public:
   /// Records the position that the primary reported in reply to a request sent at `sent`. The database must
   /// have been certain to be the primary until the reply arrived.
-  void note(core::Instant sent, const core::LogPosition& position);
+  void record(core::Instant sent, const core::LogPosition& position);
 
   /// The lowest known position at which a log holds every write acknowledged before `moment`; empty when none
   /// is known.
   [[nodiscard]] std::optional<core::LogPosition> covering(core::Instant moment) const;
   /// Like covering, with the time of the request; null when none is known.
-  [[nodiscard]] const ShownPosition* oldest_covering(core::Instant moment) const;
+  [[nodiscard]] const ReportedPosition* oldest_covering(core::Instant moment) const;
   /// The newest position; null before the first.
-  [[nodiscard]] const ShownPosition* newest() const;
+  [[nodiscard]] const ReportedPosition* newest() const;
 
  private:
-  std::deque<ShownPosition> samples_;  ///< Ordered by `sent`.
+  std::deque<ReportedPosition> samples_;  ///< Ordered by `sent`.
 };
 
 /// Positions older than this are dropped: no staleness bound is longer.
-inline constexpr core::Duration kPositionsKept = std::chrono::seconds(10);
+inline constexpr core::Duration kPositionRetention = std::chrono::seconds(10);
 /// Positions less than this after a kept one are not kept.
 inline constexpr core::Duration kPositionSpacing = std::chrono::milliseconds(20);
 
--- a/src/pooling/idle_connections.cpp
+++ b/src/pooling/idle_connections.cpp
@@ -31,23 +31,23 @@
   return connection;
 }
 
-bool IdleConnections::has_for(const std::optional<core::TenantName>& tenant) const {
+bool IdleConnections::has_connection_for(const std::optional<core::TenantName>& tenant) const {
   return std::any_of(connections_.begin(), connections_.end(),
                      [&](const auto& connection) { return !tenant || connection->tenant == *tenant; });
 }
 
 void IdleConnections::drop_closed() {
-  std::erase_if(connections_, [](const auto& connection) { return !connection->link->is_open(); });
+  std::erase_if(connections_, [](const auto& connection) { return !connection->backend->is_open(); });
 }
 
-void IdleConnections::close_least_wanted(core::Instant now, const TenantDemand& demand) {
+void IdleConnections::close_least_demanded(core::Instant now, const TenantDemand& demand) {
   std::map<core::TenantName, double> held_by;
   for (const auto& connection : connections_) {
     ++held_by[connection->tenant];
   }
   std::map<core::TenantName, double> worth;
   for (const auto& [tenant, count] : held_by) {
-    worth[tenant] = demand.of(now, tenant) / count;
+    worth[tenant] = demand.current_demand(now, tenant) / count;
   }
   const auto least = std::min_element(
       connections_.begin(), connections_.end(),
--- a/src/pooling/idle_connections.hpp
+++ b/src/pooling/idle_connections.hpp
@@ -23,12 +23,12 @@
   /// values if there is one, otherwise the most recently used one. Null: none.
   std::unique_ptr<PooledConnection> take(const std::optional<core::TenantName>& tenant,
                                          const SessionState* session);
-  [[nodiscard]] bool has_for(const std::optional<core::TenantName>& tenant) const;
+  [[nodiscard]] bool has_connection_for(const std::optional<core::TenantName>& tenant) const;
   /// Removes connections that the database has closed.
   void drop_closed();
   /// Closes a connection of the tenant with the least demand for each idle connection; among equals the least
   /// recently used one. The container must not be empty.
-  void close_least_wanted(core::Instant now, const TenantDemand& demand);
+  void close_least_demanded(core::Instant now, const TenantDemand& demand);
   /// Closes the least recently used connection. The container must not be empty.
   void close_oldest() { connections_.pop_front(); }
   /// When the least recently used connection became idle. The container must not be empty.
--- a/src/pooling/opening_choice.cpp
+++ b/src/pooling/opening_choice.cpp
@@ -16,24 +16,25 @@
 
 }  // namespace
 
-core::Duration expected_wait_for_return(const OpeningInputs& inputs) {
-  const std::size_t connections = inputs.coming_back + inputs.opening;
+core::Duration expected_wait_for_free_connection(const OpeningInputs& inputs) {
+  const std::size_t connections = inputs.soon_free + inputs.opening;
   if (connections == 0) {
     return core::Duration::max();
   }
   const auto ahead = static_cast<std::int64_t>(inputs.waiting_before) + 1;
-  const core::Duration uses = inputs.usual_statement * ahead / static_cast<std::int64_t>(connections);
-  const core::Duration until_first = inputs.coming_back == 0 ? inputs.usual_opening : core::Duration::zero();
+  const core::Duration uses = inputs.average_statement_time * ahead / static_cast<std::int64_t>(connections);
+  const core::Duration until_first =
+      inputs.soon_free == 0 ? inputs.average_opening_time : core::Duration::zero();
   return until_first + uses;
 }
 
 bool should_open(const OpeningInputs& inputs) {
-  const int weight = inputs.closes_another ? kReplacingWeight : kOpeningWeight;
-  return expected_wait_for_return(inputs) > inputs.usual_opening * weight;
+  const int weight = inputs.replaces_another ? kReplacingWeight : kOpeningWeight;
+  return expected_wait_for_free_connection(inputs) > inputs.average_opening_time * weight;
 }
 
-bool is_overdue(core::Instant now, core::Instant since, core::Duration usual_statement) {
-  return now - since > usual_statement * kOverdueFactor;
+bool is_overdue(core::Instant now, core::Instant since, core::Duration average_statement_time) {
+  return now - since > average_statement_time * kOverdueFactor;
 }
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/owner_preference.cpp
+++ b/src/pooling/owner_preference.cpp
@@ -7,26 +7,26 @@
 namespace pipitpond::pooling {
 namespace {
 
-constexpr int kNear = 0;
-constexpr int kAtTheDatabase = 1;
+constexpr int kInCallerZone = 0;
+constexpr int kInDatabaseZone = 1;
 constexpr int kElsewhere = 2;
 
-int distance_of(const OwnerCandidate& owner, const OwnerQuestion& question) {
-  if (*owner.zone == question.from) {
-    return kNear;
+int distance_of(const OwnerCandidate& owner, const OwnerQuestion& query) {
+  if (*owner.zone == query.from) {
+    return kInCallerZone;
   }
-  return *owner.zone == question.database ? kAtTheDatabase : kElsewhere;
+  return *owner.zone == query.database ? kInDatabaseZone : kElsewhere;
 }
 
 }  // namespace
 
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& question) {
-  const int distance = distance_of(owner, question);
-  if (question.tenant.empty()) {
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& query) {
+  const int distance = distance_of(owner, query);
+  if (query.tenant.empty()) {
     return OwnerRank{distance, owner.outstanding, owner.preference};
   }
-  const std::uint64_t weight = ownership::weight_of(question.tenant, *owner.daemon);
-  return OwnerRank{distance, owner.outstanding / kOutstandingForTenant,
+  const std::uint64_t weight = ownership::weight_of(query.tenant, *owner.daemon);
+  return OwnerRank{distance, owner.outstanding / kOutstandingPerTenantStep,
                    std::numeric_limits<std::uint64_t>::max() - weight};
 }
 
--- a/src/pooling/owner_preference.hpp
+++ b/src/pooling/owner_preference.hpp
@@ -36,7 +36,7 @@
 /// Statements in flight from one daemon that lower an owner's rank by one step, so that another owner becomes
 /// preferable to a tenant's regular one. A new connection takes 12 ms and a slot; one more statement in the
 /// queue takes a fraction of an average statement's time.
-inline constexpr std::uint32_t kOutstandingForTenant = 4;
+inline constexpr std::uint32_t kOutstandingPerTenantStep = 4;
 
 /// Owners in the daemon's zone rank first, then those in the database's zone: through either, a statement
 /// crosses zones at most once.
@@ -46,6 +46,6 @@
 /// requests opened a connection when each daemon had its own order, and 64% with a common one. Without a
 /// tenant each daemon prefers another owner, to spread the load: in a common order all daemons of a zone
 /// would use the same one.
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& question);
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& query);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/pooled_connection.hpp
+++ b/src/pooling/pooled_connection.hpp
@@ -12,15 +12,15 @@
 
 /// A connection and the state that the pool keeps for it.
 struct PooledConnection {
-  std::unique_ptr<BackendConnection> link;
+  std::unique_ptr<BackendConnection> backend;
   core::TenantName tenant;  ///< The tenant whose statements it carries.
   ConnectionState state;
   /// The statement in flight is a read outside a transaction, which can be retried at another database: the
   /// connection is closed when its database turns out unreachable.
-  bool expendable = false;
+  bool retryable = false;
   core::Instant idle_since{};
   core::Instant in_use_since{};
-  core::Duration charged{};  ///< Slot time charged to its tenant when it was handed out.
+  core::Duration charged_slot_time{};  ///< Slot time charged to its tenant when it was handed out.
   /// In use by a transaction, or by a statement that begins one: when it becomes free can't be predicted.
   bool in_transaction = false;
 };
--- a/src/pooling/primary_proof.cpp
+++ b/src/pooling/primary_proof.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 /// The primary itself, and the one database that need not reply.
-constexpr std::size_t kNotWitnesses = 2;
+constexpr std::size_t kDatabasesNotNeeded = 2;
 
 }  // namespace
 
 PrimaryProof::PrimaryProof(core::DatabaseId primary, std::size_t members)
     : primary_(std::move(primary)),
-      witnesses_needed_(members > kNotWitnesses ? members - kNotWitnesses : 1) {}
+      confirmations_needed_(members > kDatabasesNotNeeded ? members - kDatabasesNotNeeded : 1) {}
 
-void PrimaryProof::note(const core::DatabaseId& database, const BackendStatus& status) {
+void PrimaryProof::add_status(const core::DatabaseId& database, const BackendStatus& status) {
   if (database == primary_) {
     primary_status_ = status;
   } else {
@@ -28,15 +28,15 @@
     return false;
   }
   const bool leads = primary_status_->primary && primary_status_->received.term <= primary_status_->term;
-  const bool contradicted = std::any_of(others_.begin(), others_.end(),
-                                        [this](const auto& other) { return !bears_witness(other.second); });
+  const bool contradicted = std::any_of(
+      others_.begin(), others_.end(), [this](const auto& other) { return !confirms_primary(other.second); });
   return !leads || contradicted;
 }
 
 /// A database that was ordered to stop receiving entries until a later term takes part in a change of
 /// primary. A database that still leads an earlier term has been replaced without noticing, and has no later
 /// entries.
-bool PrimaryProof::bears_witness(const BackendStatus& status) const {
+bool PrimaryProof::confirms_primary(const BackendStatus& status) const {
   const core::Term led = primary_status_->term;
   const bool knows_no_later_term =
       status.received.term <= led && status.term <= led && status.held_term <= led;
@@ -45,7 +45,7 @@
 }
 
 std::optional<core::LogPosition> PrimaryProof::position() const {
-  if (!primary_status_ || refuted() || others_.size() < witnesses_needed_) {
+  if (!primary_status_ || refuted() || others_.size() < confirmations_needed_) {
     return std::nullopt;
   }
   return primary_status_->received;
--- a/src/pooling/primary_proof.hpp
+++ b/src/pooling/primary_proof.hpp
@@ -35,7 +35,7 @@
   PrimaryProof(core::DatabaseId primary, std::size_t members);
 
   /// Adds a database's reply in this round.
-  void note(const core::DatabaseId& database, const BackendStatus& status);
+  void add_status(const core::DatabaseId& database, const BackendStatus& status);
 
   /// True when the replies show that the presumed primary is not the primary, or that a change of primary is
   /// in progress.
@@ -45,10 +45,10 @@
   [[nodiscard]] std::optional<core::LogPosition> position() const;
 
  private:
-  [[nodiscard]] bool bears_witness(const BackendStatus& status) const;
+  [[nodiscard]] bool confirms_primary(const BackendStatus& status) const;
 
   core::DatabaseId primary_;
-  std::size_t witnesses_needed_;
+  std::size_t confirmations_needed_;
   std::optional<BackendStatus> primary_status_;
   std::map<core::DatabaseId, BackendStatus> others_;
 };
--- a/src/pooling/primary_questions.hpp
+++ b/src/pooling/primary_questions.hpp
@@ -30,59 +30,59 @@
     std::vector<core::DaemonId>& tried, ShownPrimaryRequest request)>;
 
 /// The group and presumed primary to be proven, and how to reach the primary's owners.
-struct QuestionSubject {
+struct ProofRequestSubject {
   core::GroupName group;
   PresumedPrimary presumed;
   AskOwner ask_owner;
 };
 
 /// Counters since the start.
-struct QuestionCounters {
-  std::uint64_t asked = 0;   ///< Requests sent to an owner.
-  std::uint64_t told = 0;    ///< Requests that returned a proof.
-  std::uint64_t failed = 0;  ///< Calls of `ask` for which no owner returned a proof.
+struct ProofRequestCounters {
+  std::uint64_t asked = 0;     ///< Requests sent to an owner.
+  std::uint64_t answered = 0;  ///< Requests that returned a proof.
+  std::uint64_t failed = 0;    ///< Calls of `ask` for which no owner returned a proof.
 };
 
 /// Proof requests for all groups.
-class PrimaryQuestions {
+class PrimaryProofRequests {
  public:
-  explicit PrimaryQuestions(boost::asio::io_context& io) : io_(io) {}
+  explicit PrimaryProofRequests(boost::asio::io_context& io) : io_(io) {}
 
   /// Requests a proof from a round that began at `moment` or later, unless a request for the group is in
-  /// flight or the last one began less than kQuestionInterval ago. Returns false when owners recently failed
-  /// to give a proof: this daemon must then ask the databases itself.
-  bool ask(core::Instant now, core::Instant moment, const QuestionSubject& subject);
+  /// flight or the last one began less than kProofRequestInterval ago. Returns false when owners recently
+  /// failed to give a proof: this daemon must then ask the databases itself.
+  bool ask(core::Instant now, core::Instant moment, const ProofRequestSubject& subject);
   /// Sets the callback for each proof received.
-  void on_told(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
+  void on_proof(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
     callback_ = std::move(callback);
   }
-  [[nodiscard]] const QuestionCounters& counters() const { return counters_; }
+  [[nodiscard]] const ProofRequestCounters& counters() const { return counters_; }
 
  private:
   struct GroupState {
-    bool under_way = false;
+    bool in_flight = false;
     core::Instant last_begun{};
-    core::Instant owners_rest_until{};
+    core::Instant owners_backoff_until{};
   };
 
   boost::asio::awaitable<void> ask_owners(std::weak_ptr<GroupState> state, core::Instant moment,
-                                          QuestionSubject subject);
+                                          ProofRequestSubject subject);
 
   boost::asio::io_context& io_;
   std::function<void(const core::GroupName&, const ShownPrimary&)> callback_;
   std::map<core::GroupName, std::shared_ptr<GroupState>> groups_;
-  QuestionCounters counters_;
+  ProofRequestCounters counters_;
 };
 
 /// Minimum interval between proof requests for a group, the same as between rounds.
-inline constexpr core::Duration kQuestionInterval = std::chrono::milliseconds(20);
+inline constexpr core::Duration kProofRequestInterval = std::chrono::milliseconds(20);
 /// Time in which an owner replies: the current round may have to end before the one that counts begins.
-inline constexpr core::Duration kOwnersProofTimeout = std::chrono::milliseconds(120);
+inline constexpr core::Duration kOwnerProofTimeout = std::chrono::milliseconds(120);
 /// Allowance for the round trip to an owner, the same as for positions.
 inline constexpr core::Duration kProofWay = std::chrono::milliseconds(40);
 /// Owners tried in turn for one proof.
-inline constexpr std::size_t kOwnersAskedForProof = 2;
+inline constexpr std::size_t kMaxOwnersTried = 2;
 /// After no owner gave a proof, this daemon asks the databases itself for this long.
-inline constexpr core::Duration kOwnersProofRest = std::chrono::milliseconds(250);
+inline constexpr core::Duration kOwnerProofBackoff = std::chrono::milliseconds(250);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/primary_rounds.cpp
+++ b/src/pooling/primary_rounds.cpp
@@ -15,21 +15,21 @@
 
 /// The state of one round.
 struct PrimaryRounds::Round {
-  Round(PrimaryRounds& its_owner, const RoundSubject& subject, core::Instant its_begin)
-      : owner(its_owner),
+  Round(PrimaryRounds& owning_rounds, const RoundSubject& subject, core::Instant begin_time)
+      : rounds(owning_rounds),
         group(subject.group),
         primary(subject.primary),
-        begun(its_begin),
+        begun(begin_time),
         outstanding(subject.pools.size()),
         proof(subject.primary, subject.members) {}
 
-  PrimaryRounds& owner;  ///< Outlives the state of the group.
+  PrimaryRounds& rounds;  ///< Outlives the state of the group.
   core::GroupName group;
   core::DatabaseId primary;
   core::Instant begun;
   std::size_t outstanding;
   PrimaryProof proof;
-  bool concluded = false;
+  bool finished = false;
 };
 
 std::shared_ptr<PrimaryRounds::GroupState> PrimaryRounds::state_of(const core::GroupName& group) {
@@ -42,14 +42,14 @@
 
 void PrimaryRounds::ask(core::Instant now, const RoundSubject& subject) {
   const std::shared_ptr<GroupState> state = state_of(subject.group);
-  const bool resting = state->last_begun != core::Instant{} && now - state->last_begun < kRoundInterval;
-  if (state->under_way || resting || subject.pools.empty()) {
+  const bool too_soon = state->last_begun != core::Instant{} && now - state->last_begun < kRoundInterval;
+  if (state->in_flight || too_soon || subject.pools.empty()) {
     return;
   }
   ++counters_.begun;
   state->last_begun = now;
   const auto round = std::make_shared<Round>(*this, subject, now);
-  state->under_way = round;
+  state->in_flight = round;
   for (const std::shared_ptr<BackendPool>& pool : subject.pools) {
     boost::asio::co_spawn(io_, ask_one(state, round, pool), boost::asio::detached);
   }
@@ -58,32 +58,32 @@
 awaitable<void> PrimaryRounds::ask_one(std::weak_ptr<GroupState> state, std::shared_ptr<Round> round,
                                        std::shared_ptr<BackendPool> pool) {
   // Copied: the PrimaryRounds may be destroyed while this waits.
-  const AskStatus ask_status = round->owner.ask_status_;
+  const AskStatus ask_status = round->rounds.ask_status_;
   const auto status = co_await ask_status(pool, kRoundTimeout);
-  const auto alive = state.lock();
-  if (!alive) {
+  const auto group_state = state.lock();
+  if (!group_state) {
     co_return;
   }
   --round->outstanding;
   if (status) {
-    round->proof.note(pool->address().database, status.value());
+    round->proof.add_status(pool->address().database, status.value());
   }
-  round->owner.conclude(*alive, *round);
+  round->rounds.finish_if_decided(*group_state, *round);
 }
 
 /// A round ends once its outcome is certain or all requests have ended.
-void PrimaryRounds::conclude(GroupState& state, Round& round) {
+void PrimaryRounds::finish_if_decided(GroupState& state, Round& round) {
   const auto position = round.proof.position();
-  const bool over = position || round.proof.refuted() || round.outstanding == 0;
-  if (round.concluded || !over) {
+  const bool decided = position || round.proof.refuted() || round.outstanding == 0;
+  if (round.finished || !decided) {
     return;
   }
-  round.concluded = true;
-  state.under_way.reset();
+  round.finished = true;
+  state.in_flight.reset();
   log_outcome(state, round);
   if (position) {
     ++counters_.shown;
-    keep(round.group, state, ShownPrimary{round.primary, round.begun, *position});
+    store_proof(round.group, state, ShownPrimary{round.primary, round.begun, *position});
   }
   for (boost::asio::steady_timer* timer : state.waiting) {
     timer->cancel();
@@ -91,7 +91,7 @@
 }
 
 /// A delayed proof never replaces one from a later round.
-void PrimaryRounds::keep(const core::GroupName& group, GroupState& state, const ShownPrimary& shown) {
+void PrimaryRounds::store_proof(const core::GroupName& group, GroupState& state, const ShownPrimary& shown) {
   if (!state.shown || state.shown->begun <= shown.begun) {
     state.shown = shown;
   }
@@ -100,12 +100,12 @@
   }
 }
 
-void PrimaryRounds::note_told(const core::GroupName& group, const ShownPrimary& shown) {
-  keep(group, *state_of(group), shown);
+void PrimaryRounds::add_proof(const core::GroupName& group, const ShownPrimary& shown) {
+  store_proof(group, *state_of(group), shown);
 }
 
 awaitable<std::optional<ShownPrimary>> PrimaryRounds::await_shown(core::GroupName group,
-                                                                  SubjectSource subject,
+                                                                  RoundSubjectSource subject,
                                                                   core::Instant earliest,
                                                                   core::Instant deadline) {
   const std::shared_ptr<GroupState> state = state_of(group);
@@ -121,7 +121,7 @@
     ask(now, *asked);
     const core::Instant rest_ends = state->last_begun + kRoundInterval;
     const core::Instant next_try = rest_ends > now ? rest_ends : now + kRoundInterval;
-    co_await await_round(io_, state, state->under_way ? deadline : std::min(deadline, next_try));
+    co_await await_round(io_, state, state->in_flight ? deadline : std::min(deadline, next_try));
   }
 }
 
--- a/src/pooling/primary_rounds.hpp
+++ b/src/pooling/primary_rounds.hpp
@@ -37,7 +37,7 @@
 };
 
 /// Returns the databases for the next round, or nothing when no round can be started.
-using SubjectSource = std::function<std::optional<RoundSubject>(core::Instant)>;
+using RoundSubjectSource = std::function<std::optional<RoundSubject>(core::Instant)>;
 
 /// Counters since the start.
 struct RoundCounters {
@@ -57,15 +57,15 @@
   /// that proof. `subject` returns the databases to ask now, or nothing when no round can be started any
   /// more. Empty when there is no proof before the deadline.
   boost::asio::awaitable<std::optional<ShownPrimary>> await_shown(core::GroupName group,
-                                                                  SubjectSource subject,
+                                                                  RoundSubjectSource subject,
                                                                   core::Instant earliest,
                                                                   core::Instant deadline);
   /// Records a proof from another daemon's round. It counts like one of this daemon.
-  void note_told(const core::GroupName& group, const ShownPrimary& shown);
+  void add_proof(const core::GroupName& group, const ShownPrimary& shown);
   /// The newest proof for a group, from a round of this daemon or of another; null before the first.
   [[nodiscard]] const ShownPrimary* shown(const core::GroupName& group) const;
   /// Sets the callback for each proof.
-  void on_shown(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
+  void on_proof(std::function<void(const core::GroupName&, const ShownPrimary&)> callback) {
     callback_ = std::move(callback);
   }
   [[nodiscard]] const RoundCounters& counters() const { return counters_; }
@@ -73,7 +73,7 @@
  private:
   struct Round;
   struct GroupState {
-    std::shared_ptr<Round> under_way;
+    std::shared_ptr<Round> in_flight;
     core::Instant last_begun{};
     std::optional<ShownPrimary> shown;
     std::optional<bool> last_succeeded;  ///< The outcome logged last.
@@ -83,11 +83,11 @@
 
   static boost::asio::awaitable<void> ask_one(std::weak_ptr<GroupState> state, std::shared_ptr<Round> round,
                                               std::shared_ptr<BackendPool> pool);
-  void conclude(GroupState& state, Round& round);
+  void finish_if_decided(GroupState& state, Round& round);
   std::shared_ptr<GroupState> state_of(const core::GroupName& group);
   static boost::asio::awaitable<void> await_round(boost::asio::io_context& io,
                                                   std::shared_ptr<GroupState> state, core::Instant deadline);
-  void keep(const core::GroupName& group, GroupState& state, const ShownPrimary& shown);
+  void store_proof(const core::GroupName& group, GroupState& state, const ShownPrimary& shown);
   static void log_outcome(GroupState& state, const Round& round);
 
   boost::asio::io_context& io_;
--- a/src/pooling/replica_reach.cpp
+++ b/src/pooling/replica_reach.cpp
@@ -7,8 +7,8 @@
 void ReplicaReach::note_lacking(core::Instant now, const core::LogPosition& position) {
   const bool known_to_lack = lacking_ && now < lacking_until_;
   lacking_ = known_to_lack ? std::min(*lacking_, position) : position;
-  rest_ = std::clamp(rest_ * 2, kLackingRestMin, kLackingRestMax);
-  lacking_until_ = now + rest_;
+  backoff_ = std::clamp(backoff_ * 2, kLackingBackoffMin, kLackingBackoffMax);
+  lacking_until_ = now + backoff_;
 }
 
 void ReplicaReach::note_reached(const core::LogPosition& position) {
@@ -16,7 +16,7 @@
   if (has_caught_up) {
     lacking_.reset();
     lacking_until_ = {};
-    rest_ = core::Duration::zero();
+    backoff_ = core::Duration::zero();
   }
 }
 
--- a/src/pooling/replica_reach.hpp
+++ b/src/pooling/replica_reach.hpp
@@ -26,12 +26,12 @@
   std::optional<core::LogPosition> lacking_;
   core::Instant lacking_until_{};
   /// Backoff before a read that needs a lacking position is sent to the replica again.
-  core::Duration rest_{};
+  core::Duration backoff_{};
 };
 
 /// Bounds of that backoff, which doubles with each refusal. The lower bound is about the usual lag of a
 /// healthy replica.
-inline constexpr core::Duration kLackingRestMin = std::chrono::milliseconds(20);
-inline constexpr core::Duration kLackingRestMax = std::chrono::milliseconds(320);
+inline constexpr core::Duration kLackingBackoffMin = std::chrono::milliseconds(20);
+inline constexpr core::Duration kLackingBackoffMax = std::chrono::milliseconds(320);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/shown_primary.hpp
+++ b/src/pooling/shown_primary.hpp
@@ -48,10 +48,10 @@
 };
 
 /// The earliest start of a round whose proof may answer the request, which arrived at `arrived`.
-core::Instant earliest_round(const ShownPrimaryRequest& request, core::Instant arrived);
+core::Instant earliest_round_start(const ShownPrimaryRequest& request, core::Instant arrived);
 
 /// The owner's reply to a request that arrived at `arrived`.
-ShownPrimaryReply told(const ShownPrimary& shown, core::Term term, core::Instant arrived);
+ShownPrimaryReply make_reply(const ShownPrimary& shown, core::Term term, core::Instant arrived);
 
 /// The primary of a group in the requester's configuration.
 struct PresumedPrimary {
@@ -62,7 +62,7 @@
 /// The proof contained in the reply to a request sent at `asked` or later. Empty when the owner knows another
 /// primary or another term: one of the two configurations is outdated, and only a round of the requester can
 /// tell.
-std::optional<ShownPrimary> understood(const ShownPrimaryReply& reply, const PresumedPrimary& presumed,
-                                       core::Instant asked);
+std::optional<ShownPrimary> proof_from_reply(const ShownPrimaryReply& reply, const PresumedPrimary& presumed,
+                                             core::Instant asked);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/tenant_demand.hpp
+++ b/src/pooling/tenant_demand.hpp
@@ -15,24 +15,25 @@
 /// follow a tenant that moves to another zone.
 inline constexpr core::Duration kDemandHalfLife = std::chrono::seconds(10);
 /// Tenants with less demand than this (no use for about 70 s) are dropped.
-inline constexpr double kForgottenDemand = 0.01;
+inline constexpr double kNegligibleDemand = 0.01;
 
 /// Uses by tenant, weighted by exponential decay.
 class TenantDemand {
  public:
   void note_use(core::Instant now, const core::TenantName& tenant) {
     Entry& entry = entries_[tenant];
-    entry.uses = current(now, entry) + 1;
-    entry.at = now;
+    entry.uses = decayed(now, entry) + 1;
+    entry.last_use = now;
   }
 
-  [[nodiscard]] double of(core::Instant now, const core::TenantName& tenant) const {
+  [[nodiscard]] double current_demand(core::Instant now, const core::TenantName& tenant) const {
     const auto found = entries_.find(tenant);
-    return found == entries_.end() ? 0 : current(now, found->second);
+    return found == entries_.end() ? 0 : decayed(now, found->second);
   }
 
-  void forget_idle(core::Instant now) {
-    std::erase_if(entries_, [&](const auto& entry) { return current(now, entry.second) < kForgottenDemand; });
+  void drop_idle_tenants(core::Instant now) {
+    std::erase_if(entries_,
+                  [&](const auto& entry) { return decayed(now, entry.second) < kNegligibleDemand; });
   }
 
   [[nodiscard]] std::size_t tenants() const { return entries_.size(); }
@@ -40,11 +41,11 @@
  private:
   struct Entry {
     double uses = 0;
-    core::Instant at{};
+    core::Instant last_use{};
   };
 
-  static double current(core::Instant now, const Entry& entry) {
-    const double half_lives = std::chrono::duration<double>(now - entry.at) / kDemandHalfLife;
+  static double decayed(core::Instant now, const Entry& entry) {
+    const double half_lives = std::chrono::duration<double>(now - entry.last_use) / kDemandHalfLife;
     return entry.uses * std::exp2(-half_lives);
   }
 
--- a/tests/pooling/backend_health_test.cpp
+++ b/tests/pooling/backend_health_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_TRUE(health_.usable());
 }
 
-TEST_F(BackendHealthTest, AnIdleDatabaseIsNotDoubted) {
+TEST_F(BackendHealthTest, AnIdleDatabaseIsNotSuspected) {
   pass(60'000);
   EXPECT_FALSE(health_.take_probe(now_));
 }
@@ -41,7 +41,7 @@
   EXPECT_EQ(health_.suspicion(now_, false), Suspicion::kUnreachable);
 }
 
-TEST_F(BackendHealthTest, OneLostConnectionIsNoReason) {
+TEST_F(BackendHealthTest, OneLostConnectionDoesNotMakeItUnreachable) {
   const BatchNumber batch = health_.on_sent(now_, false);
   health_.on_abandoned(now_, batch, true);
   ASSERT_TRUE(health_.take_probe(now_));
@@ -50,7 +50,7 @@
   EXPECT_FALSE(health_.suspicion(now_, true));
 }
 
-TEST_F(BackendHealthTest, ARefusedProbeAfterALossIsEnough) {
+TEST_F(BackendHealthTest, ARefusedProbeAfterALostConnectionMakesItUnreachable) {
   const BatchNumber batch = health_.on_sent(now_, false);
   health_.on_abandoned(now_, batch, true);
   ASSERT_TRUE(health_.take_probe(now_));
@@ -58,7 +58,7 @@
   EXPECT_FALSE(health_.usable());
 }
 
-TEST_F(BackendHealthTest, AnAnswerEndsEveryDoubt) {
+TEST_F(BackendHealthTest, ANewConnectionMakesItUsableAgain) {
   health_.on_connect_failed(now_);
   ASSERT_TRUE(health_.take_probe(now_));
   health_.on_probe(now_, false, true);
@@ -67,7 +67,7 @@
   EXPECT_TRUE(health_.usable());
 }
 
-TEST_F(BackendHealthTest, AWriteThatWaitsWhileReadsAreAnsweredWaitsForAReceipt) {
+TEST_F(BackendHealthTest, AnUnansweredWriteWhileReadsAreAnsweredSuspectsStalledReplication) {
   health_.on_sent(now_, true);
   pass(450);
   health_.on_answered(now_, health_.on_sent(now_, false));
@@ -77,7 +77,7 @@
   EXPECT_FALSE(health_.suspicion(now_, false)) << "a replica waits for no acknowledgement";
 }
 
-TEST_F(BackendHealthTest, AStallIsRememberedUntilAWriteIsAnswered) {
+TEST_F(BackendHealthTest, StalledReplicationIsSuspectedUntilAWriteIsAnswered) {
   const BatchNumber write = health_.on_sent(now_, true);
   pass(800);
   health_.on_abandoned(now_, write, false);
@@ -86,7 +86,7 @@
   EXPECT_FALSE(health_.suspicion(now_, true));
 }
 
-TEST_F(BackendHealthTest, ANewTermVoidsWhatWasHeldAgainstThePrimary) {
+TEST_F(BackendHealthTest, ANewTermClearsTheSuspicionOfThePrimary) {
   health_.on_refused_write();
   EXPECT_EQ(health_.suspicion(now_, true), Suspicion::kNotPrimary);
   health_.on_new_term();
--- a/tests/pooling/backend_pool_test.cpp
+++ b/tests/pooling/backend_pool_test.cpp
@@ -48,7 +48,7 @@
   EXPECT_EQ(pool_->held(), 1U);
 }
 
-TEST_F(BackendPoolTest, TheBudgetIsKept) {
+TEST_F(BackendPoolTest, HoldsNoMoreConnectionsThanItsShare) {
   auto first = acquire();
   auto second = acquire();
   ASSERT_TRUE(first && second);
@@ -58,7 +58,7 @@
   EXPECT_EQ(connector_.database("a").connections_opened, 2);
 }
 
-TEST_F(BackendPoolTest, ABorrowedConnectionIsGivenBackSoonAfterItsUse) {
+TEST_F(BackendPoolTest, ABorrowedConnectionIsClosedSoonAfterItsUse) {
   pool_->set_share(ConnectionShare{0, 2, std::chrono::hours(1), 2, 2});
   { const auto lease = acquire(); }
   ASSERT_EQ(pool_->held(), 1U);
@@ -76,7 +76,7 @@
   EXPECT_GE(pool_->held(), 1U);
 }
 
-TEST_F(BackendPoolTest, RefusalsShortenTheTimeThatABorrowedConnectionStays) {
+TEST_F(BackendPoolTest, RefusalsShortenTheIdleTimeOfBorrowedConnections) {
   pool_->set_share(ConnectionShare{0, 2, std::chrono::hours(1), 2, 2});
   connector_.database("a").max_connections = 1;
   { const auto lease = acquire(); }
@@ -90,7 +90,7 @@
   EXPECT_EQ(pool_->held(), 0U);
 }
 
-TEST_F(BackendPoolTest, ADatabaseThatWasSlowCountsAsUsualAgainAfterSomeSecondsWithoutUse) {
+TEST_F(BackendPoolTest, ASlowDatabasesExpectedWaitDecaysWhileItIsNotUsed) {
   const core::Duration usual = pool_->expected_wait();
   for (int slow = 0; slow < 50; ++slow) {
     pool_->note_latency(std::chrono::seconds(1));
@@ -104,7 +104,7 @@
   EXPECT_LT(pool_->expected_wait(), usual + milliseconds(10));
 }
 
-TEST_F(BackendPoolTest, ADatabaseInUseKeepsWhatItsAnswersShowed) {
+TEST_F(BackendPoolTest, ADatabaseInUseKeepsItsMeasuredLatency) {
   core::Instant now = core::BootClock::now();
   for (int tick = 0; tick < 200; ++tick) {
     pool_->note_latency(std::chrono::seconds(1));
@@ -114,7 +114,7 @@
   EXPECT_GT(pool_->expected_wait(), milliseconds(900));
 }
 
-TEST_F(BackendPoolTest, KeptConnectionsAreOpenedAheadOfDemandOneAfterTheOther) {
+TEST_F(BackendPoolTest, KeptConnectionsAreOpenedAheadOfDemandOneAtATime) {
   pool_->set_share(ConnectionShare{2, 2, milliseconds(100), 2, 2});
   const core::Instant now = core::BootClock::now();
   const auto held_after = [this](core::Instant at) {
@@ -142,7 +142,7 @@
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return late->done(); }));
 }
 
-TEST_F(BackendPoolTest, ARequestThatIsLateLetsOneGoFirstThatCanStillBeInTime) {
+TEST_F(BackendPoolTest, ALateRequestIsServedAfterThoseThatCanStillBeInTime) {
   // Guards against serving requests that are late already before those that can still be in time. With
   // lagging replicas, a fifth of the reads was late at a primary that was fully loaded.
   auto first = acquire();
@@ -167,15 +167,15 @@
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return late->done(); }));
 }
 
-TEST_F(BackendPoolTest, AFullLineLosesItsLeastUrgentOneAtOnce) {
+TEST_F(BackendPoolTest, AFullQueueRejectsItsLeastUrgentRequestAtOnce) {
   pool_->set_share(ConnectionShare{1, 1, std::chrono::hours(1), 1, 1});
   auto first = acquire();
   const auto cheap = pipitpond::testing::start(io_, BackendPool::acquire(pool_, request(20'000, 2)));
   std::vector<std::shared_ptr<pipitpond::testing::Pending<core::Result<ConnectionLease>>>> others;
-  for (std::size_t number = 1; number < kMostWaitingForEachSlot; ++number) {
+  for (std::size_t number = 1; number < kMaxWaitingPerSlot; ++number) {
     others.push_back(pipitpond::testing::start(io_, BackendPool::acquire(pool_, request(20'000, 1))));
   }
-  pipitpond::testing::run_until(io_, [this] { return pool_->waiting() == kMostWaitingForEachSlot; });
+  pipitpond::testing::run_until(io_, [this] { return pool_->waiting() == kMaxWaitingPerSlot; });
   EXPECT_FALSE(cheap->done());
   const auto urgent = pipitpond::testing::start(io_, BackendPool::acquire(pool_, request(20'000, 0)));
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return cheap->done(); }));
@@ -186,7 +186,7 @@
   ASSERT_FALSE(last);
   EXPECT_EQ(last.error().kind, core::ErrorKind::kNoCapacity);
   EXPECT_EQ(pool_->counters().line_full, 1U);
-  EXPECT_EQ(pool_->waiting(), kMostWaitingForEachSlot);
+  EXPECT_EQ(pool_->waiting(), kMaxWaitingPerSlot);
   { const ConnectionLease given_back = std::move(first.value()); }
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return urgent->done(); }));
   EXPECT_TRUE(urgent->value->has_value());
@@ -194,7 +194,7 @@
   pipitpond::testing::run_until(io_, [&] { return others.back()->done(); });
 }
 
-TEST_F(BackendPoolTest, AStatementOfATransactionTakesRoomAndARestingTransactionTakesNone) {
+TEST_F(BackendPoolTest, AStatementInATransactionCountsAgainstTheLimitAndAnIdleTransactionDoesNot) {
   pool_->set_share(ConnectionShare{3, 3, std::chrono::hours(1), 1, 1});
   auto transaction = acquire();
   Statement begin;
@@ -214,7 +214,7 @@
   EXPECT_TRUE(waits->value->has_value());
 }
 
-TEST_F(BackendPoolTest, ADatabaseThatRefusesFailsThoseThatWaitAtOnce) {
+TEST_F(BackendPoolTest, ADatabaseThatRefusesConnectionsFailsWaitingRequestsAtOnce) {
   connector_.database("a").refuses_connections = true;
   const core::Instant before = core::BootClock::now();
   const auto lease = acquire(request(5000));
@@ -235,7 +235,7 @@
   EXPECT_EQ(connector_.database("a").connections_opened, 2);
 }
 
-TEST_F(BackendPoolTest, AnotherTenantsIdleConnectionMakesRoom) {
+TEST_F(BackendPoolTest, AnotherTenantsIdleConnectionIsClosedForANewOne) {
   { const auto lease = acquire(request_of("t1")); }
   { const auto lease = acquire(request_of("t2")); }
   ASSERT_EQ(pool_->held(), 2U);
@@ -247,7 +247,7 @@
       << "the least recently used connection was closed";
 }
 
-TEST_F(BackendPoolTest, TheConnectionOfTheTenantThatAsksLeastMakesRoom) {
+TEST_F(BackendPoolTest, TheConnectionOfTheTenantWithLeastDemandIsClosedForANewOne) {
   // Guards against closing the least recently used connection whatever its tenant's demand. With 84 tenants
   // that opened 46,405 connections for 72,606 requests: each request of a small tenant closed a large one's
   // connection.
@@ -261,7 +261,7 @@
   EXPECT_EQ(connector_.opened_for, (std::vector<std::string>{"large", "s1", "s2", "s3", "s4"}));
 }
 
-TEST_F(BackendPoolTest, ATenantsQueueKeepsNoIdleConnectionFromAnother) {
+TEST_F(BackendPoolTest, AWaitingTenantReplacesAnotherTenantsIdleConnection) {
   // t1 waits for its only connection, which is in use; t2 has an idle one.
   pool_->set_share(ConnectionShare{2, 2, std::chrono::hours(1), 4, 4});
   auto first = acquire(request_of("t1"));
@@ -303,7 +303,7 @@
   EXPECT_EQ(connector_.database("a").connections_opened, 2);
 }
 
-TEST_F(BackendPoolTest, StatementsOfManyTenantsNeverMeetOnOneConnection) {
+TEST_F(BackendPoolTest, StatementsOfDifferentTenantsNeverShareAConnection) {
   std::vector<std::shared_ptr<pipitpond::testing::Pending<core::Result<ConnectionLease>>>> pending;
   for (int round = 0; round < 40; ++round) {
     const std::string tenant = "t" + std::to_string(round * 7 % 5);
@@ -320,14 +320,14 @@
   EXPECT_LE(pool_->held(), 2U);
 }
 
-TEST_F(BackendPoolTest, AClosedPoolGivesNothing) {
+TEST_F(BackendPoolTest, AClosedPoolRejectsRequests) {
   pool_->close();
   const auto lease = acquire();
   ASSERT_FALSE(lease);
   EXPECT_EQ(lease.error().kind, core::ErrorKind::kLeaving);
 }
 
-TEST_F(BackendPoolTest, AConnectionInATransactionIsClosedWhenItIsGivenBack) {
+TEST_F(BackendPoolTest, AConnectionInATransactionIsClosedWhenItIsReturned) {
   {
     auto lease = acquire();
     Statement begin;
@@ -337,7 +337,7 @@
   EXPECT_EQ(pool_->held(), 0U);
 }
 
-TEST_F(BackendPoolTest, ReadsAtADatabaseThatFellSilentAreCutOffWhenItIsFoundUnreachable) {
+TEST_F(BackendPoolTest, ASilentDatabaseIsFoundUnreachableWhileAReadWaits) {
   auto lease = acquire();
   connector_.database("a").silent = true;
   connector_.database("a").refuses_connections = true;
--- a/tests/pooling/concurrency_limit_test.cpp
+++ b/tests/pooling/concurrency_limit_test.cpp
@@ -17,7 +17,7 @@
   return now;
 }
 
-TEST(ConcurrencyLimitTest, BeginsAtTheFirstAndGrowsToTheMost) {
+TEST(ConcurrencyLimitTest, StartsAtTheInitialLimitAndGrowsToTheMaximum) {
   ConcurrencyLimit limit;
   limit.set_bounds(2, 5);
   EXPECT_EQ(limit.limit(), 2U);
@@ -35,7 +35,7 @@
   EXPECT_EQ(limit.limit(), 3U);
 }
 
-TEST(ConcurrencyLimitTest, FallsWhileAnswersAreHinderedAndComesBackAfterwards) {
+TEST(ConcurrencyLimitTest, FallsWhileLatencyIsHighAndRecoversAfterwards) {
   ConcurrencyLimit limit;
   limit.set_bounds(5, 5);
   core::Instant now = answer(limit, core::Instant{}, 100, milliseconds(10));
@@ -46,15 +46,15 @@
   EXPECT_EQ(limit.limit(), 5U);
 }
 
-TEST(ConcurrencyLimitTest, AnOverloadDoesNotBecomeUsual) {
+TEST(ConcurrencyLimitTest, AnOverloadDoesNotBecomeTheBaseline) {
   ConcurrencyLimit limit;
   limit.set_bounds(5, 5);
   core::Instant now = answer(limit, core::Instant{}, 100, milliseconds(10));
   now = answer(limit, now, 400, milliseconds(150));
-  EXPECT_LT(limit.unhindered(), milliseconds(80));
+  EXPECT_LT(limit.baseline_latency(), milliseconds(80));
 }
 
-TEST(ConcurrencyLimitTest, ManyRefusalsAtOnceCountOnce) {
+TEST(ConcurrencyLimitTest, SimultaneousRefusalsCountOnce) {
   ConcurrencyLimit limit;
   limit.set_bounds(10, 10);
   const core::Instant now = answer(limit, core::Instant{}, 50, milliseconds(10));
@@ -64,7 +64,7 @@
   EXPECT_EQ(limit.limit(), 8U);
 }
 
-RC_GTEST_PROP(ConcurrencyLimitProperty, StaysBetweenOneAndTheMost, ()) {
+RC_GTEST_PROP(ConcurrencyLimitProperty, StaysBetweenOneAndTheMaximum, ()) {
   ConcurrencyLimit limit;
   const auto first = *rc::gen::inRange<std::uint32_t>(0, 60);
   const auto most = *rc::gen::inRange<std::uint32_t>(0, 50);
--- a/tests/pooling/concurrency_load_test.cpp
+++ b/tests/pooling/concurrency_load_test.cpp
@@ -29,7 +29,7 @@
 constexpr core::Duration kRejection = milliseconds(1);
 constexpr core::Duration kGoal = milliseconds(400);
 constexpr core::Duration kDeadline = milliseconds(1000);
-constexpr core::Duration kUsual = milliseconds(9);
+constexpr core::Duration kAverageTime = milliseconds(9);
 
 struct Outcome {
   std::size_t asked = 0;
@@ -53,8 +53,8 @@
 
 struct Owner {
   ConcurrencyLimit limit;
-  StatementLine line;
-  StatementsUnderWay under_way;
+  StatementQueue queue;
+  StatementsInFlight in_flight;
 };
 
 /// Discrete-event simulation of all owners and the database, without a network.
@@ -141,16 +141,16 @@
   // --- Owners
 
   void arrive(const Request& request) {
-    LineEntry entry;
+    QueueEntry entry;
     entry.number = ++last_number_;
     entry.goal = request.arrived + kGoal;
     waiting_.emplace(entry.number, request);
-    owners_[request.owner].line.join(now_, entry, kSlots * kMostWaitingForEachSlot, kUsual);
+    owners_[request.owner].queue.enqueue(now_, entry, kSlots * kMaxWaitingPerSlot, kAverageTime);
     serve(request.owner);
   }
 
   [[nodiscard]] bool has_room(const Owner& owner) const {
-    StatementsUnderWay counted = owner.under_way;
+    StatementsInFlight counted = owner.in_flight;
     counted.in_transactions = counts_transactions_ ? counted.in_transactions : 0;
     return owner.limit.has_room(counted);
   }
@@ -158,7 +158,7 @@
   void serve(std::size_t index) {
     Owner& owner = owners_[index];
     while (has_room(owner)) {
-      const auto next = owner.line.take_next(now_, kUsual, [](const LineEntry&) { return true; });
+      const auto next = owner.queue.take_next(now_, kAverageTime, [](const QueueEntry&) { return true; });
       if (!next) {
         return;
       }
@@ -171,10 +171,10 @@
   }
 
   void begin(const Request& request) {
-    ++owners_[request.owner].under_way.outside;
+    ++owners_[request.owner].in_flight.outside;
     submit([this, request, sent = now_](bool ran) {
       Owner& owner = owners_[request.owner];
-      --owner.under_way.outside;
+      --owner.in_flight.outside;
       note_answer(owner, ran, sent);
       if (ran) {
         go_on(request);
@@ -198,10 +198,10 @@
     if (now_ >= request.arrived + kDeadline) {
       return;
     }
-    ++owners_[request.owner].under_way.in_transactions;
+    ++owners_[request.owner].in_flight.in_transactions;
     submit([this, request, sent = now_](bool ran) {
       Owner& owner = owners_[request.owner];
-      --owner.under_way.in_transactions;
+      --owner.in_flight.in_transactions;
       note_answer(owner, ran, sent);
       if (ran) {
         go_on(request);
@@ -254,7 +254,7 @@
   }
 }
 
-TEST(ConcurrencyLoadTest, CountingTransactionsCostsNothingWithoutShortage) {
+TEST(ConcurrencyLoadTest, CountingTransactionsCostsNothingWithoutOverload) {
   for (const double transactions : {0.2, 0.5, 0.8}) {
     const Outcome before = play_seeds(false, 360, transactions);
     const Outcome after = play_seeds(true, 360, transactions);
--- a/tests/pooling/connection_share_test.cpp
+++ b/tests/pooling/connection_share_test.cpp
@@ -12,7 +12,7 @@
   EXPECT_EQ(share.most, 5U);
 }
 
-TEST(ConnectionShareTest, AThirdOfTheConnectionsIsFreeWhileDaemonsRest) {
+TEST(ConnectionShareTest, AThirdOfTheConnectionsStaysFreeWhileDaemonsAreIdle) {
   // Guards against idle connections that take up the whole limit: after a power loss, databases counted the
   // connections of lost machines for 3 s more, and 343 new ones were refused.
   for (const std::uint32_t daemons : {1U, 2U, 4U, 8U}) {
@@ -29,26 +29,26 @@
   EXPECT_EQ(share.most, 5U);
 }
 
-TEST(ConnectionShareTest, TenantsConnectionsAreWhereTheirCallersAre) {
+TEST(ConnectionShareTest, OwnersWithMoreCallersGetMoreTenantConnections) {
   const DatabaseCapacity capacity{50, 6};
-  const ConnectionShare near = tenants_share_of(capacity, OwnerPlace{8, 4, true, false});
-  const ConnectionShare far = tenants_share_of(capacity, OwnerPlace{8, 4, false, false});
+  const ConnectionShare near = tenant_share_of(capacity, OwnerPlace{8, 4, true, false});
+  const ConnectionShare far = tenant_share_of(capacity, OwnerPlace{8, 4, false, false});
   EXPECT_EQ(near.most, 9U);
   EXPECT_EQ(near.kept, 6U);
   EXPECT_EQ(far.most, 3U);
-  const ConnectionShare near_primary = tenants_share_of(capacity, OwnerPlace{8, 4, true, true});
-  const ConnectionShare far_primary = tenants_share_of(capacity, OwnerPlace{8, 4, false, true});
+  const ConnectionShare near_primary = tenant_share_of(capacity, OwnerPlace{8, 4, true, true});
+  const ConnectionShare far_primary = tenant_share_of(capacity, OwnerPlace{8, 4, false, true});
   EXPECT_EQ(near_primary.most, 4U);
   EXPECT_EQ(far_primary.most, 8U);
 }
 
-TEST(ConnectionShareTest, TenantsSharesNeverExceedTheDatabasesLimit) {
+TEST(ConnectionShareTest, TenantSharesNeverExceedTheDatabasesLimit) {
   for (std::uint32_t connections = 1; connections <= 200; ++connections) {
     for (std::size_t owners = 1; owners <= 8; ++owners) {
       for (const bool primary : {false, true}) {
         const std::size_t near = (owners + 1) / 2;
         const auto most = [&](bool is_near) {
-          return tenants_share_of({connections, 6}, OwnerPlace{owners, near, is_near, primary}).most;
+          return tenant_share_of({connections, 6}, OwnerPlace{owners, near, is_near, primary}).most;
         };
         const std::size_t all = most(true) * near + most(false) * (owners - near);
         const std::size_t equal_parts = share_of({connections, 6}, owners).most * owners;
--- a/tests/pooling/freshness_test.cpp
+++ b/tests/pooling/freshness_test.cpp
@@ -22,8 +22,8 @@
 
 TEST(PrimaryPositionsTest, TheEarliestPositionThatCoversTheMomentIsEnough) {
   PrimaryPositions positions;
-  positions.note(at(100), {1, 5});
-  positions.note(at(200), {1, 9});
+  positions.record(at(100), {1, 5});
+  positions.record(at(200), {1, 9});
   EXPECT_EQ(positions.covering(at(50)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(100)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(101)), (core::LogPosition{1, 9}));
@@ -32,8 +32,8 @@
 
 TEST(PrimaryPositionsTest, AnAnswerThatOvertookAnotherKeepsTheOrderOfSending) {
   PrimaryPositions positions;
-  positions.note(at(300), {1, 9});
-  positions.note(at(100), {1, 5});
+  positions.record(at(300), {1, 9});
+  positions.record(at(100), {1, 5});
   EXPECT_EQ(positions.covering(at(90)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(200)), (core::LogPosition{1, 9}));
 }
@@ -50,7 +50,7 @@
     if (step % 3 == 0) {
       acknowledged.push_back(now);
     } else {
-      positions.note(at(now), {1, acknowledged.size()});
+      positions.record(at(now), {1, acknowledged.size()});
     }
   }
   const int asked = *rc::gen::inRange(0, now + 10);
--- a/tests/pooling/opening_choice_test.cpp
+++ b/tests/pooling/opening_choice_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_TRUE(should_open({0, 0, 0, false, milliseconds(9), milliseconds(12)}));
 }
 
-TEST(OpeningChoiceTest, WaitsForAConnectionThatIsBackSoonerThanTwoOpeningsTake) {
+TEST(OpeningChoiceTest, WaitsForAConnectionThatIsFreeBeforeTwoOpeningsEnd) {
   EXPECT_FALSE(should_open({0, 1, 0, false, milliseconds(9), milliseconds(12)}));
   EXPECT_FALSE(should_open({1, 1, 0, false, milliseconds(9), milliseconds(12)}));
   EXPECT_TRUE(should_open({2, 1, 0, false, milliseconds(9), milliseconds(12)}));
@@ -39,7 +39,7 @@
   EXPECT_TRUE(should_open({5, 1, 0, true, milliseconds(9), milliseconds(12)})) << "54 ms";
 }
 
-TEST(OpeningChoiceTest, AStatementThatTakesMuchLongerThanUsualIsNotCountedOn) {
+TEST(OpeningChoiceTest, AStatementThatTakesMuchLongerThanAverageIsOverdue) {
   const core::Instant since{};
   EXPECT_FALSE(is_overdue(since + milliseconds(27), since, milliseconds(9)));
   EXPECT_TRUE(is_overdue(since + milliseconds(28), since, milliseconds(9)));
@@ -52,9 +52,9 @@
 constexpr int kTenants = 12;
 constexpr core::Duration kStatement = milliseconds(9);
 constexpr core::Duration kOpening = milliseconds(12);
-constexpr int kLatencyWeight = 8;  ///< Inverse weight of the newest value in averages.
+constexpr int kLatencyAverageDivisor = 8;  ///< Inverse weight of the newest value in averages.
 
-enum class Policy { kOpenForEachWaiter, kNeverWhileOneIsInUse, kChoice };
+enum class Policy { kOpenForEachWaiter, kOneConnectionPerTenant, kShouldOpen };
 
 struct Outcome {
   std::size_t openings = 0;
@@ -154,7 +154,7 @@
   void run_statement(Waiting waiter) {
     ++in_use_[waiter.tenant];
     submit({kStatement, [this, waiter, sent = now_] {
-              usual_statement_ += (now_ - sent - usual_statement_) / kLatencyWeight;
+              average_statement_time_ += (now_ - sent - average_statement_time_) / kLatencyAverageDivisor;
               outcome_.latencies.push_back(now_ - waiter.arrived);
               --in_use_[waiter.tenant];
               idle_.push_back(waiter.tenant);
@@ -182,11 +182,11 @@
     switch (policy_) {
       case Policy::kOpenForEachWaiter:
         return true;
-      case Policy::kNeverWhileOneIsInUse:
+      case Policy::kOneConnectionPerTenant:
         return in_use_[tenant] + opening_[tenant] == 0;
-      case Policy::kChoice:
+      case Policy::kShouldOpen:
         return should_open({waiting_before, in_use_[tenant], opening_[tenant], held() >= kMostConnections,
-                            usual_statement_, usual_opening_});
+                            average_statement_time_, average_opening_time_});
     }
     return false;
   }
@@ -214,7 +214,7 @@
     ++opening_[tenant];
     ++outcome_.openings;
     submit({kOpening, [this, tenant, begun = now_] {
-              usual_opening_ += (now_ - begun - usual_opening_) / kLatencyWeight;
+              average_opening_time_ += (now_ - begun - average_opening_time_) / kLatencyAverageDivisor;
               --opening_[tenant];
               idle_.push_back(tenant);
               serve();
@@ -232,8 +232,8 @@
   std::deque<Job> jobs_;
   int busy_slots_ = 0;
   /// Includes the wait for a slot, as in the pool's own measurement.
-  core::Duration usual_statement_ = kStatement;
-  core::Duration usual_opening_ = kOpening;
+  core::Duration average_statement_time_ = kStatement;
+  core::Duration average_opening_time_ = kOpening;
   Outcome outcome_;
 };
 
@@ -271,7 +271,7 @@
 TEST(OpeningChoiceLoadTest, OpensLessThanForEachWaiterAndAnswersSooner) {
   for (const int largest : {3, 6, 12}) {
     const Outcome each = play_seeds(Policy::kOpenForEachWaiter, 20, largest);
-    const Outcome choice = play_seeds(Policy::kChoice, 20, largest);
+    const Outcome choice = play_seeds(Policy::kShouldOpen, 20, largest);
     EXPECT_LT(choice.openings * 3, each.openings) << "bursts of up to " << largest;
     EXPECT_LT(choice.mean(), each.mean()) << "bursts of up to " << largest;
     EXPECT_LE(choice.quantile(0.99), each.quantile(0.99)) << "bursts of up to " << largest;
@@ -280,8 +280,8 @@
 
 TEST(OpeningChoiceLoadTest, AnswersSoonerThanOneConnectionForEachTenant) {
   for (const int largest : {3, 6, 12}) {
-    const Outcome never = play_seeds(Policy::kNeverWhileOneIsInUse, 20, largest);
-    const Outcome choice = play_seeds(Policy::kChoice, 20, largest);
+    const Outcome never = play_seeds(Policy::kOneConnectionPerTenant, 20, largest);
+    const Outcome choice = play_seeds(Policy::kShouldOpen, 20, largest);
     EXPECT_LT(choice.mean(), never.mean()) << "bursts of up to " << largest;
     EXPECT_LT(choice.quantile(0.99), never.quantile(0.99)) << "bursts of up to " << largest;
   }
@@ -289,7 +289,7 @@
 
 TEST(OpeningChoiceLoadTest, SlotsThatAreNearlyFullGoToStatements) {
   const Outcome each = play_seeds(Policy::kOpenForEachWaiter, 60, 6);
-  const Outcome choice = play_seeds(Policy::kChoice, 60, 6);
+  const Outcome choice = play_seeds(Policy::kShouldOpen, 60, 6);
   EXPECT_LT(choice.openings * 3, each.openings);
   EXPECT_LT(choice.mean() * 2, each.mean());
   EXPECT_LT(choice.quantile(0.99) * 3 / 2, each.quantile(0.99));
--- a/tests/pooling/primary_proof_test.cpp
+++ b/tests/pooling/primary_proof_test.cpp
@@ -37,21 +37,21 @@
   return status;
 }
 
-TEST(PrimaryProofTest, ThePrimaryAndOneReplicaOfThreeShowIt) {
+TEST(PrimaryProofTest, ThePrimaryAndOneReplicaOfThreeProveIt) {
   PrimaryProof proof(kA, 3);
-  proof.note(kA, leads(4, {4, 20}));
+  proof.add_status(kA, leads(4, {4, 20}));
   EXPECT_FALSE(proof.position()) << "the primary's own status is not enough";
-  proof.note(kB, follows(4, {4, 18}));
+  proof.add_status(kB, follows(4, {4, 18}));
   EXPECT_EQ(proof.position(), (core::LogPosition{4, 20}));
 }
 
-TEST(PrimaryProofTest, OfFiveAllButOneMustBeHeard) {
+TEST(PrimaryProofTest, OfFiveDatabasesAllButOneMustReply) {
   PrimaryProof proof(kA, 5);
-  proof.note(kA, leads(4, {4, 20}));
-  proof.note(kB, follows(4, {4, 20}));
-  proof.note(kC, follows(4, {4, 20}));
+  proof.add_status(kA, leads(4, {4, 20}));
+  proof.add_status(kB, follows(4, {4, 20}));
+  proof.add_status(kC, follows(4, {4, 20}));
   EXPECT_FALSE(proof.position());
-  proof.note(core::DatabaseId("d"), follows(4, {4, 19}));
+  proof.add_status(core::DatabaseId("d"), follows(4, {4, 19}));
   EXPECT_TRUE(proof.position());
 }
 
@@ -59,18 +59,18 @@
   for (const BackendStatus& status :
        {follows(5, {5, 21}), follows(4, {5, 21}), follows(5, {4, 20}), follows(4, {4, 20}, 5)}) {
     PrimaryProof proof(kA, 3);
-    proof.note(kA, leads(4, {4, 20}));
-    proof.note(kB, status);
+    proof.add_status(kA, leads(4, {4, 20}));
+    proof.add_status(kB, status);
     EXPECT_TRUE(proof.refuted());
-    proof.note(kC, follows(4, {4, 20}));
+    proof.add_status(kC, follows(4, {4, 20}));
     EXPECT_FALSE(proof.position());
   }
 }
 
-TEST(PrimaryProofTest, OneThatDoesNotLeadIsNoPrimary) {
+TEST(PrimaryProofTest, ADatabaseThatDoesNotLeadIsRefuted) {
   PrimaryProof proof(kA, 3);
-  proof.note(kA, follows(4, {4, 20}));
-  proof.note(kB, follows(4, {4, 20}));
+  proof.add_status(kA, follows(4, {4, 20}));
+  proof.add_status(kB, follows(4, {4, 20}));
   EXPECT_TRUE(proof.refuted());
   EXPECT_FALSE(proof.position());
 }
@@ -113,7 +113,7 @@
 };
 
 /// A request from one daemon to an owner, which runs the rounds.
-struct ModelQuestion {
+struct ModelExchange {
   ShownPrimaryRequest request;
   core::Instant asked;                   ///< By the requester's clock.
   std::optional<core::Instant> arrived;  ///< By the owner's clock.
@@ -123,34 +123,34 @@
 /// The rule that decides whether a database counts as the primary.
 enum class Rule : std::uint8_t {
   kProof,
-  kOwnWord,
-  kTold,             ///< A proof also counts at a daemon that receives it from an owner.
-  kToldFromArrival,  ///< As above, but its age is counted from the reply, not from the request.
+  kPrimaryAlone,
+  kPassedOn,              ///< A proof also counts at a daemon that receives it from an owner.
+  kPassedOnAgeFromReply,  ///< As above, but its age is counted from the reply, not from the request.
 };
 
 class GroupModel {
  public:
-  GroupModel(std::uint64_t seed, Rule rule) : random_(seed), rule_(rule), telling_random_(seed) {
+  GroupModel(std::uint64_t seed, Rule rule) : random_(seed), rule_(rule), message_random_(seed) {
     databases_[0].primary = true;
-    owner_clock_ = any_clock();
-    asker_clock_ = any_clock();
+    owner_clock_ = random_clock();
+    asker_clock_ = random_clock();
   }
 
   /// Returns a description of the first wrong proof, or an empty string.
   std::string play(int steps) {
-    for (int step = 0; step < steps && finding_.empty(); ++step) {
+    for (int step = 0; step < steps && violation_.empty(); ++step) {
       take_step();
-      if (rule_ == Rule::kTold || rule_ == Rule::kToldFromArrival) {
-        take_telling_step();
+      if (rule_ == Rule::kPassedOn || rule_ == Rule::kPassedOnAgeFromReply) {
+        take_message_step();
       }
     }
-    return finding_;
+    return violation_;
   }
   [[nodiscard]] std::size_t proofs() const { return proofs_; }
-  [[nodiscard]] std::size_t told_proofs() const { return told_proofs_; }
+  [[nodiscard]] std::size_t passed_on_proofs() const { return passed_on_proofs_; }
 
  private:
-  std::size_t any() { return random_() % kDatabases; }
+  std::size_t random_database() { return random_() % kDatabases; }
   bool one_in(std::uint64_t many) { return random_() % many == 0; }
 
   void take_step() {
@@ -158,17 +158,17 @@
       case 0:
       case 1:
       case 2:
-        write(any());
+        write(random_database());
         break;
       case 3:
       case 4:
-        replicate(any(), any());
+        replicate(random_database(), random_database());
         break;
       case 5:
-        restart(any());
+        restart(random_database());
         break;
       case 6:
-        fence(any());
+        fence(random_database());
         break;
       case 7:
         promote();
@@ -204,7 +204,7 @@
       return;
     }
     primary.log.push_back({primary.term, primary.log.size() + 1});
-    if (!one_in(4) && replicate(at, any())) {
+    if (!one_in(4) && replicate(at, random_database())) {
       acknowledged_.push_back(primary.log.back());
       acknowledged_at_.push_back(now_);
     }
@@ -270,7 +270,7 @@
   }
 
   void begin_round() {
-    const std::size_t presumed = any();
+    const std::size_t presumed = random_database();
     ModelRound round{presumed, acknowledged_.size(), PrimaryProof(kIds.at(presumed), kDatabases), {0, 1, 2}};
     std::shuffle(round.to_ask.begin(), round.to_ask.end(), random_);
     round.begun = now_;
@@ -292,10 +292,10 @@
     status.term = database.term;
     status.received = last(asked);
     status.held_term = database.held_term;
-    round_->proof.note(kIds.at(asked), status);
-    const bool own_word = rule_ == Rule::kOwnWord && asked == round_->presumed && status.primary;
-    if (own_word || (rule_ != Rule::kOwnWord && round_->proof.position())) {
-      judge(*round_);
+    round_->proof.add_status(kIds.at(asked), status);
+    const bool own_word = rule_ == Rule::kPrimaryAlone && asked == round_->presumed && status.primary;
+    if (own_word || (rule_ != Rule::kPrimaryAlone && round_->proof.position())) {
+      check_proof(*round_);
       const core::Instant begun = owner_clock_.at(round_->begun);
       shown_ = ShownPrimary{kIds.at(round_->presumed), begun, round_->proof.position().value_or(last(asked))};
       round_.reset();
@@ -303,74 +303,74 @@
   }
 
   /// Every write acknowledged before the round must be in the log at which a read would now run.
-  void judge(const ModelRound& round) {
+  void check_proof(const ModelRound& round) {
     ++proofs_;
     const auto& log = databases_.at(round.presumed).log;
     for (std::size_t write = 0; write < round.acknowledged_before; ++write) {
       if (std::find(log.begin(), log.end(), acknowledged_.at(write)) == log.end()) {
         const core::LogPosition& missing = acknowledged_.at(write);
-        finding_ = "database " + kIds.at(round.presumed).value() + " lacks " + std::to_string(missing.term) +
-                   "." + std::to_string(missing.index);
+        violation_ = "database " + kIds.at(round.presumed).value() + " lacks " +
+                     std::to_string(missing.term) + "." + std::to_string(missing.index);
       }
     }
   }
 
   // --- An owner passes its proofs to a daemon
 
-  ModelClock any_clock() {
+  ModelClock random_clock() {
     constexpr double kRateStep = 0.001;  // Up to 2% fast or slow, so up to 4.1% between two clocks.
-    const double rate = 1 + kRateStep * (static_cast<double>(telling_random_() % 41) - 20);
-    return ModelClock{rate, std::chrono::seconds(1000 + telling_random_() % 1000)};
+    const double rate = 1 + kRateStep * (static_cast<double>(message_random_() % 41) - 20);
+    return ModelClock{rate, std::chrono::seconds(1000 + message_random_() % 1000)};
   }
 
   /// Requests and replies take any time, and replies may be duplicated.
-  void take_telling_step() {
-    now_ += std::chrono::milliseconds(telling_random_() % 20);
-    const std::uint64_t kind = telling_random_() % 10;
+  void take_message_step() {
+    now_ += std::chrono::milliseconds(message_random_() % 20);
+    const std::uint64_t kind = message_random_() % 10;
     if (kind == 0) {
-      now_ += std::chrono::milliseconds(telling_random_() % 2000);  // All processes are paused.
-    } else if (kind < 3 && questions_.size() < 4) {
-      ModelQuestion question;
-      question.request.max_age_ms = telling_random_() % 2 == 0 ? 0 : telling_random_() % 1000;
-      question.asked = asker_clock_.at(now_);
-      questions_.push_back(question);
-    } else if (!questions_.empty()) {
-      go_on_with(telling_random_() % questions_.size());
+      now_ += std::chrono::milliseconds(message_random_() % 2000);  // All processes are paused.
+    } else if (kind < 3 && exchanges_.size() < 4) {
+      ModelExchange exchange;
+      exchange.request.max_age_ms = message_random_() % 2 == 0 ? 0 : message_random_() % 1000;
+      exchange.asked = asker_clock_.at(now_);
+      exchanges_.push_back(exchange);
+    } else if (!exchanges_.empty()) {
+      advance_request(message_random_() % exchanges_.size());
     }
   }
 
-  void go_on_with(std::size_t which) {
-    ModelQuestion& question = questions_.at(which);
-    if (!question.arrived) {
-      question.arrived = owner_clock_.at(now_);
-    } else if (!question.reply) {
-      if (shown_ && shown_->begun >= earliest_round(question.request, *question.arrived)) {
-        question.reply = told(*shown_, 1, *question.arrived);
+  void advance_request(std::size_t which) {
+    ModelExchange& exchange = exchanges_.at(which);
+    if (!exchange.arrived) {
+      exchange.arrived = owner_clock_.at(now_);
+    } else if (!exchange.reply) {
+      if (shown_ && shown_->begun >= earliest_round_start(exchange.request, *exchange.arrived)) {
+        exchange.reply = make_reply(*shown_, 1, *exchange.arrived);
       }
     } else {
-      judge_told(question);
-      if (telling_random_() % 2 == 0) {
-        questions_.erase(questions_.begin() + static_cast<std::ptrdiff_t>(which));
+      check_passed_on_proof(exchange);
+      if (message_random_() % 2 == 0) {
+        exchanges_.erase(exchanges_.begin() + static_cast<std::ptrdiff_t>(which));
       }
     }
   }
 
   /// Every write acknowledged before the start of the round, as the requester computes it, must be in the
   /// log.
-  void judge_told(const ModelQuestion& question) {
-    const core::Instant counted_from = rule_ == Rule::kTold ? question.asked : asker_clock_.at(now_);
-    const auto understood_now = understood(*question.reply, {question.reply->primary, 1}, counted_from);
-    ASSERT_TRUE(understood_now);
-    ++told_proofs_;
-    const core::Duration begun = asker_clock_.real(understood_now->begun) - std::chrono::microseconds(1);
-    const auto which = std::find(kIds.begin(), kIds.end(), understood_now->primary) - kIds.begin();
+  void check_passed_on_proof(const ModelExchange& exchange) {
+    const core::Instant counted_from = rule_ == Rule::kPassedOn ? exchange.asked : asker_clock_.at(now_);
+    const auto received_proof = proof_from_reply(*exchange.reply, {exchange.reply->primary, 1}, counted_from);
+    ASSERT_TRUE(received_proof);
+    ++passed_on_proofs_;
+    const core::Duration begun = asker_clock_.real(received_proof->begun) - std::chrono::microseconds(1);
+    const auto which = std::find(kIds.begin(), kIds.end(), received_proof->primary) - kIds.begin();
     const auto& log = databases_.at(static_cast<std::size_t>(which)).log;
     for (std::size_t write = 0; write < acknowledged_.size() && acknowledged_at_.at(write) < begun; ++write) {
       const core::LogPosition& needed = acknowledged_.at(write);
       const bool held = std::find(log.begin(), log.end(), needed) != log.end();
-      if (!held || needed > understood_now->position) {
-        finding_ = "passed on: database " + understood_now->primary.value() + " lacks " +
-                   std::to_string(needed.term) + "." + std::to_string(needed.index);
+      if (!held || needed > received_proof->position) {
+        violation_ = "passed on: database " + received_proof->primary.value() + " lacks " +
+                     std::to_string(needed.term) + "." + std::to_string(needed.index);
       }
     }
   }
@@ -378,21 +378,21 @@
   std::mt19937_64 random_;
   Rule rule_;
   /// A separate generator, so that runs with the other rules stay the same.
-  std::mt19937_64 telling_random_;
+  std::mt19937_64 message_random_;
   core::Duration now_{};
   ModelClock owner_clock_;
   ModelClock asker_clock_;
   std::vector<core::Duration> acknowledged_at_;
   std::optional<ShownPrimary> shown_;
-  std::vector<ModelQuestion> questions_;
-  std::size_t told_proofs_ = 0;
+  std::vector<ModelExchange> exchanges_;
+  std::size_t passed_on_proofs_ = 0;
   std::array<ModelDatabase, kDatabases> databases_;
   std::vector<core::LogPosition> acknowledged_;
   core::Term newest_term_ = 1;
   bool changing_ = false;
   std::optional<ModelRound> round_;
   std::size_t proofs_ = 0;
-  std::string finding_;
+  std::string violation_;
 };
 
 constexpr std::uint64_t kSeeds = 5000;
@@ -408,28 +408,28 @@
   EXPECT_GT(proofs, kSeeds) << "the model gives hardly any proof";
 }
 
-TEST(PrimaryProofModelTest, NoProofThatAnOwnerTellsIsEverWrong) {
+TEST(PrimaryProofModelTest, NoProofPassedOnByAnOwnerIsEverWrong) {
   std::size_t proofs = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    GroupModel model(seed, Rule::kTold);
+    GroupModel model(seed, Rule::kPassedOn);
     ASSERT_EQ(model.play(kSteps), "") << "seed " << seed;
-    proofs += model.told_proofs();
+    proofs += model.passed_on_proofs();
   }
   EXPECT_GT(proofs, kSeeds) << "the model passes on hardly any proof";
 }
 
-TEST(PrimaryProofModelTest, ToldAgesCountedFromTheAnswerWouldBeWrong) {
+TEST(PrimaryProofModelTest, AgesCountedFromTheReplyWouldBeWrong) {
   bool wrong = false;
   for (std::uint64_t seed = 1; seed <= kSeeds && !wrong; ++seed) {
-    wrong = !GroupModel(seed, Rule::kToldFromArrival).play(kSteps).empty();
+    wrong = !GroupModel(seed, Rule::kPassedOnAgeFromReply).play(kSteps).empty();
   }
   EXPECT_TRUE(wrong);
 }
 
-TEST(PrimaryProofModelTest, ThePrimarysOwnWordWouldBeWrong) {
+TEST(PrimaryProofModelTest, ThePrimarysOwnStatusAloneWouldBeWrong) {
   bool wrong = false;
   for (std::uint64_t seed = 1; seed <= kSeeds && !wrong; ++seed) {
-    wrong = !GroupModel(seed, Rule::kOwnWord).play(kSteps).empty();
+    wrong = !GroupModel(seed, Rule::kPrimaryAlone).play(kSteps).empty();
   }
   EXPECT_TRUE(wrong);
 }
--- a/tests/pooling/shown_primary_test.cpp
+++ b/tests/pooling/shown_primary_test.cpp
@@ -24,7 +24,7 @@
 const core::DatabaseId kA("a");
 const core::Instant kArrived = core::Instant{} + std::chrono::hours(1);
 
-ShownPrimaryRequest question(std::uint32_t max_age_ms) {
+ShownPrimaryRequest proof_request(std::uint32_t max_age_ms) {
   ShownPrimaryRequest request;
   request.group = kGroup;
   request.max_age_ms = max_age_ms;
@@ -32,38 +32,39 @@
   return request;
 }
 
-TEST(ShownPrimaryTest, OnlyARoundThatBeganAfterAFreshQuestionServesIt) {
-  EXPECT_EQ(earliest_round(question(0), kArrived), kArrived);
-  EXPECT_EQ(earliest_round(question(1), kArrived), kArrived);
+TEST(ShownPrimaryTest, OnlyALaterRoundAnswersARequestWithoutAllowedAge) {
+  EXPECT_EQ(earliest_round_start(proof_request(0), kArrived), kArrived);
+  EXPECT_EQ(earliest_round_start(proof_request(1), kArrived), kArrived);
 }
 
-TEST(ShownPrimaryTest, ARoundThatServesIsToldAsYoungEnoughAndNeverTooYoung) {
+TEST(ShownPrimaryTest, TheAgeInAReplyIsWithinTheLimitAndNeverTooLow) {
   for (std::uint32_t max_age = 0; max_age < 3000; ++max_age) {
-    const core::Instant earliest = earliest_round(question(max_age), kArrived);
-    const ShownPrimaryReply reply = told(ShownPrimary{kA, earliest, {1, 5}}, 1, kArrived);
+    const core::Instant earliest = earliest_round_start(proof_request(max_age), kArrived);
+    const ShownPrimaryReply reply = make_reply(ShownPrimary{kA, earliest, {1, 5}}, 1, kArrived);
     ASSERT_LE(reply.age_ms, max_age);
     ASSERT_GE(milliseconds(reply.age_ms) * 20, (kArrived - earliest) * 21) << "the asker's clock may be fast";
   }
 }
 
-TEST(ShownPrimaryTest, ARoundThatBeganLaterCountsFromTheQuestion) {
-  const ShownPrimaryReply reply = told(ShownPrimary{kA, kArrived + milliseconds(300), {1, 5}}, 1, kArrived);
+TEST(ShownPrimaryTest, ARoundThatBeganAfterTheRequestCountsFromTheRequest) {
+  const ShownPrimaryReply reply =
+      make_reply(ShownPrimary{kA, kArrived + milliseconds(300), {1, 5}}, 1, kArrived);
   const core::Instant asked = core::Instant{} + std::chrono::hours(7);
-  const auto shown = understood(reply, {kA, 1}, asked);
+  const auto shown = proof_from_reply(reply, {kA, 1}, asked);
   ASSERT_TRUE(shown);
   EXPECT_EQ(shown->begun, asked) << "a reply that is late, or of a paused owner, must not seem newer";
   EXPECT_EQ(shown->position, (core::LogPosition{1, 5}));
 }
 
-TEST(ShownPrimaryTest, AnotherPrimaryOrTermShowsNothing) {
+TEST(ShownPrimaryTest, AnotherPrimaryOrTermProvesNothing) {
   const ShownPrimaryReply reply{kA, 4, {4, 20}, 0};
-  EXPECT_TRUE(understood(reply, {kA, 4}, kArrived));
-  EXPECT_FALSE(understood(reply, {kA, 3}, kArrived));
-  EXPECT_FALSE(understood(reply, {kA, 5}, kArrived));
-  EXPECT_FALSE(understood(reply, {core::DatabaseId("b"), 4}, kArrived));
+  EXPECT_TRUE(proof_from_reply(reply, {kA, 4}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {kA, 3}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {kA, 5}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {core::DatabaseId("b"), 4}, kArrived));
 }
 
-TEST(ShownPrimaryTest, AnyBytesAreAnAnswerThatIsNoYoungerThanTheQuestionOrNone) {
+TEST(ShownPrimaryTest, ACorruptReplyNeverGivesAProofNewerThanTheRequest) {
   std::mt19937_64 random(1);
   const std::string sound = wire::pack(ShownPrimaryReply{kA, 4, {4, 20}, 17});
   const core::Instant asked = core::Instant{} + std::chrono::hours(7);
@@ -73,7 +74,7 @@
       bytes.at(random() % bytes.size()) = static_cast<char>(random());
     }
     const auto reply = wire::unpack<ShownPrimaryReply>(bytes);
-    const auto shown = reply ? understood(reply.value(), {kA, 4}, asked) : std::nullopt;
+    const auto shown = reply ? proof_from_reply(reply.value(), {kA, 4}, asked) : std::nullopt;
     ASSERT_TRUE(!shown || shown->begun <= asked);
   }
 }
@@ -135,7 +136,7 @@
   boost::asio::awaitable<core::Result<std::string>> handle(wire::PeerId peer, wire::MessageType type,
                                                            std::string body) {
     if (type == wire::MessageType::kShownPrimary) {
-      ++questions_;
+      ++requests_;
       if (silent_for_ > 0) {
         --silent_for_;
         co_await pause_for(io_, std::chrono::seconds(2));
@@ -184,7 +185,7 @@
   }
 
   auto ask_owner(std::uint32_t max_age_ms) {
-    return pipitpond::testing::start(io_, owner_.backends.show_primary(question(max_age_ms)));
+    return pipitpond::testing::start(io_, owner_.backends.show_primary(proof_request(max_age_ms)));
   }
 
   void pause(milliseconds duration) {
@@ -199,7 +200,7 @@
   std::vector<std::unique_ptr<DaemonParts>> askers_;
   bool older_version_ = false;
   int silent_for_ = 0;  ///< Requests that get no reply in time.
-  int questions_ = 0;
+  int requests_ = 0;
   std::unique_ptr<wire::Server> server_;
 };
 
@@ -213,7 +214,7 @@
   }
 }
 
-TEST_F(ProofSharingTest, WithoutTheOwnersRoundsEachDaemonAsksForItself) {
+TEST_F(ProofSharingTest, WithoutTheOwnersRoundsEachDaemonRunsItsOwn) {
   older_version_ = true;
   slow_statuses(milliseconds(20));
   EXPECT_EQ(read_at_all(), kAskers);
@@ -221,15 +222,15 @@
   EXPECT_GE(statuses(), kAskers) << "otherwise sharing proofs would save nothing";
 }
 
-TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheDaemonsOwnRound) {
+TEST_F(ProofSharingTest, ASilentOwnerIsFollowedByTheDaemonsOwnRound) {
   silent_for_ = 100;
   EXPECT_FALSE(read(*askers_[0]).failure);
-  EXPECT_EQ(questions_, 1);
+  EXPECT_EQ(requests_, 1);
   EXPECT_GE(askers_[0]->backends.rounds().begun, 1U);
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 0U);
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 0U);
 }
 
-TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheNextOne) {
+TEST_F(ProofSharingTest, ASilentOwnerIsFollowedByTheNextOwner) {
   add_daemon(configuration_, "owner-2", "zone-owner");  // Served by the same server.
   for (protocol::Database& database : configuration_.groups.begin()->second.databases) {
     database.max_owners = 2;
@@ -237,21 +238,21 @@
   askers_[0]->apply(configuration_);
   silent_for_ = 1;
   EXPECT_FALSE(read(*askers_[0]).failure);
-  EXPECT_EQ(questions_, 2);
+  EXPECT_EQ(requests_, 2);
   EXPECT_EQ(askers_[0]->backends.rounds().begun, 0U);
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 1U);
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 1U);
 }
 
-TEST_F(ProofSharingTest, AnOwnerWithATermThatTheDaemonLacksShowsItNothing) {
+TEST_F(ProofSharingTest, AProofFromAnOwnerWithANewerTermIsNotUsed) {
   protocol::Configuration newer = configuration_;
   newer.groups.begin()->second.terms.push_back(protocol::TermStart{2, kA, {}});
   owner_.apply(newer);
   EXPECT_FALSE(read(*askers_[0]).failure) << "the daemon's own round proves the primary";
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 0U);
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 0U);
   EXPECT_EQ(askers_[0]->backends.rounds().shown, 1U);
 }
 
-TEST_F(ProofSharingTest, ARoundUnderWayServesNoQuestionThatCameAfterItsBeginning) {
+TEST_F(ProofSharingTest, ARoundInProgressAnswersNoRequestThatCameAfterItsStart) {
   slow_statuses(milliseconds(30));
   const auto first = ask_owner(0);
   pause(milliseconds(10));
@@ -268,18 +269,18 @@
   EXPECT_EQ(owner_.backends.rounds().begun, 2U);
 }
 
-TEST_F(ProofSharingTest, DatabasesThatShowNothingGetAnErrorInTime) {
+TEST_F(ProofSharingTest, WithoutAProofTheOwnerReturnsAnErrorInTime) {
   owner_.connector.database("b").tells_no_status = true;
   owner_.connector.database("c").tells_no_status = true;
   const core::Instant begun = core::BootClock::now();
   const auto asked = ask_owner(0);
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return asked->done(); }));
   EXPECT_FALSE(asked->value->has_value());
-  EXPECT_LT(core::BootClock::now() - begun, kOwnersProofTimeout + kProofWay);
+  EXPECT_LT(core::BootClock::now() - begun, kOwnerProofTimeout + kProofWay);
 }
 
-TEST_F(ProofSharingTest, AnUnknownGroupAndAMalformedQuestionAreRefused) {
-  ShownPrimaryRequest unknown = question(0);
+TEST_F(ProofSharingTest, AnUnknownGroupAndAMalformedRequestAreRefused) {
+  ShownPrimaryRequest unknown = proof_request(0);
   unknown.group = core::GroupName("x");
   for (const std::string& body : {wire::pack(unknown), std::string("\x93nonsense"), std::string()}) {
     const auto answer =
@@ -288,11 +289,11 @@
   }
 }
 
-TEST_F(ProofSharingTest, AnAnswerThatComesTwiceOrLateTakesNothingBack) {
+TEST_F(ProofSharingTest, ADuplicateOrLateReplyNeverReplacesANewerProof) {
   PrimaryRounds rounds(io_, {});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived + milliseconds(50), {1, 9}});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived + milliseconds(50), {1, 9}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
   ASSERT_NE(rounds.shown(kGroup), nullptr);
   EXPECT_EQ(rounds.shown(kGroup)->begun, kArrived + milliseconds(50));
   EXPECT_EQ(rounds.shown(kGroup)->position, (core::LogPosition{1, 9}));
--- a/tests/pooling/spreading_test.cpp
+++ b/tests/pooling/spreading_test.cpp
@@ -54,7 +54,7 @@
   std::map<std::string, int> asked_;
 };
 
-TEST_F(OwnerSpreadTest, DaemonsOfAZoneAskDifferentOwnersOfADatabase) {
+TEST_F(OwnerSpreadTest, DaemonsOfAZoneUseDifferentOwnersOfADatabase) {
   for (const char* name : {"o1", "o2", "o3", "o4"}) {
     add_owner(name);
   }
--- a/tests/pooling/statement_line_test.cpp
+++ b/tests/pooling/statement_line_test.cpp
@@ -14,33 +14,33 @@
 
 using std::chrono::milliseconds;
 
-constexpr core::Duration kUsual = milliseconds(9);
-constexpr std::size_t kMost = 100;
+constexpr core::Duration kAverageTime = milliseconds(9);
+constexpr std::size_t kMaxWaiting = 100;
 
-bool anybody(const LineEntry&) {
+bool any_entry(const QueueEntry&) {
   return true;
 }
 
-LineEntry entry(WaiterNumber number, std::uint32_t priority = 1, const std::string& tenant = "") {
-  LineEntry made;
+QueueEntry entry(WaiterNumber number, std::uint32_t priority = 1, const std::string& tenant = "") {
+  QueueEntry made;
   made.number = number;
   made.priority = priority;
   made.tenant = core::TenantName(tenant);
   return made;
 }
 
-TEST(StatementLineTest, GoesByPriorityThenByArrival) {
-  StatementLine line;
+TEST(StatementQueueTest, OrdersByPriorityThenByArrival) {
+  StatementQueue queue;
   const core::Instant now{};
-  line.join(now, entry(1, 2), kMost, kUsual);
-  line.join(now, entry(2, 1), kMost, kUsual);
-  line.join(now, entry(3, 1), kMost, kUsual);
-  EXPECT_EQ(line.in_order(now, kUsual).front().number, 2U);
-  EXPECT_EQ(line.in_order(now, kUsual).back().number, 1U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 3U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), std::nullopt);
+  queue.enqueue(now, entry(1, 2), kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(2, 1), kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(3, 1), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.in_order(now, kAverageTime).front().number, 2U);
+  EXPECT_EQ(queue.in_order(now, kAverageTime).back().number, 1U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 3U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), std::nullopt);
 }
 
 // Guards against a statement that starves because it loses its place when it moves to another owner's queue.
@@ -48,118 +48,118 @@
 // after 30 to 120 ms. When each move put the statement at the end of the queue, it was never served where the
 // wait was longer than that, while statements of the owners' own callers kept their places: some proxies
 // refused all writes of a new caller for 7.5 s, others served its first one within 268 ms.
-TEST(StatementLineTest, AStatementThatHasWaitedElsewhereGoesBeforeThoseThatCameLater) {
-  StatementLine line;
+TEST(StatementQueueTest, AStatementThatHasWaitedElsewhereGoesBeforeThoseThatCameLater) {
+  StatementQueue queue;
   const core::Instant now{milliseconds(500)};
-  LineEntry own = entry(1);
+  QueueEntry own = entry(1);
   own.since = now - milliseconds(100);
-  LineEntry from_another_line = entry(2);
+  QueueEntry from_another_line = entry(2);
   from_another_line.since = now - milliseconds(300);
-  LineEntry newcomer = entry(3);
+  QueueEntry newcomer = entry(3);
   newcomer.since = now;
-  line.join(now, own, kMost, kUsual);
-  line.join(now, from_another_line, kMost, kUsual);
-  line.join(now, newcomer, kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 3U);
+  queue.enqueue(now, own, kMaxWaiting, kAverageTime);
+  queue.enqueue(now, from_another_line, kMaxWaiting, kAverageTime);
+  queue.enqueue(now, newcomer, kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 3U);
 }
 
-TEST(StatementLineTest, AFullLineLosesWhoHasWaitedLeast) {
-  StatementLine line;
+TEST(StatementQueueTest, AFullQueueDropsTheStatementThatHasWaitedLeast) {
+  StatementQueue queue;
   const core::Instant now{milliseconds(500)};
-  LineEntry own = entry(1);
+  QueueEntry own = entry(1);
   own.since = now - milliseconds(100);
-  LineEntry from_another_line = entry(2);
+  QueueEntry from_another_line = entry(2);
   from_another_line.since = now - milliseconds(300);
-  line.join(now, own, 1, kUsual);
-  const JoinOutcome outcome = line.join(now, from_another_line, 1, kUsual);
-  EXPECT_TRUE(outcome.joined);
+  queue.enqueue(now, own, 1, kAverageTime);
+  const EnqueueOutcome outcome = queue.enqueue(now, from_another_line, 1, kAverageTime);
+  EXPECT_TRUE(outcome.accepted);
   EXPECT_EQ(outcome.displaced, 1U);
 }
 
-TEST(StatementLineTest, WhoIsLateAnywayGoesLast) {
-  StatementLine line;
+TEST(StatementQueueTest, LateStatementsGoLast) {
+  StatementQueue queue;
   const core::Instant now{};
-  LineEntry late = entry(1, 0);
+  QueueEntry late = entry(1, 0);
   late.goal = now + milliseconds(5);
-  line.join(now, late, kMost, kUsual);
-  line.join(now, entry(2, 2), kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
+  queue.enqueue(now, late, kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(2, 2), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
 }
 
-TEST(StatementLineTest, PassesOverThoseWhoCannotBeServed) {
-  StatementLine line;
+TEST(StatementQueueTest, SkipsStatementsThatCannotBeServed) {
+  StatementQueue queue;
   const core::Instant now{};
-  line.join(now, entry(1), kMost, kUsual);
-  line.join(now, entry(2), kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, [](const LineEntry& one) { return one.number == 2; }), 2U);
-  EXPECT_EQ(line.size(), 1U);
+  queue.enqueue(now, entry(1), kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(2), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, [](const QueueEntry& one) { return one.number == 2; }), 2U);
+  EXPECT_EQ(queue.size(), 1U);
 }
 
-TEST(StatementLineTest, TenantsTakeTurns) {
-  StatementLine line;
+TEST(StatementQueueTest, TenantsTakeTurns) {
+  StatementQueue queue;
   const core::Instant now{};
   for (const WaiterNumber number : {1U, 2U, 3U}) {
-    line.join(now, entry(number, 1, "a"), kMost, kUsual);
+    queue.enqueue(now, entry(number, 1, "a"), kMaxWaiting, kAverageTime);
   }
-  line.join(now, entry(4, 1, "b"), kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 4U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
+  queue.enqueue(now, entry(4, 1, "b"), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 4U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
 }
 
-TEST(StatementLineTest, SlowStatementsCountForTheTimeThatTheyTook) {
-  StatementLine line;
+TEST(StatementQueueTest, SlowStatementsAreChargedForTheTimeTheyTook) {
+  StatementQueue queue;
   const core::Instant now{};
-  line.note_started(core::TenantName("slow"), kUsual);
-  line.note_started(core::TenantName("quick"), kUsual);
-  line.note_used(core::TenantName("slow"), milliseconds(100));
-  line.join(now, entry(1, 1, "slow"), kMost, kUsual);
-  line.join(now, entry(2, 1, "quick"), kMost, kUsual);
-  line.join(now, entry(3, 1, "quick"), kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 3U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
+  queue.note_started(core::TenantName("slow"), kAverageTime);
+  queue.note_started(core::TenantName("quick"), kAverageTime);
+  queue.note_used(core::TenantName("slow"), milliseconds(100));
+  queue.enqueue(now, entry(1, 1, "slow"), kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(2, 1, "quick"), kMaxWaiting, kAverageTime);
+  queue.enqueue(now, entry(3, 1, "quick"), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 3U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
 }
 
-TEST(StatementLineTest, WhatATenantDidNotUseIsNotSavedUp) {
-  StatementLine line;
+TEST(StatementQueueTest, UnusedTimeOfATenantIsNotSavedUp) {
+  StatementQueue queue;
   const core::Instant now{};
   for (int started = 0; started < 100; ++started) {
-    line.note_started(core::TenantName("busy"), kUsual);
+    queue.note_started(core::TenantName("busy"), kAverageTime);
   }
   for (const WaiterNumber number : {1U, 2U, 3U}) {
-    line.join(now, entry(number, 1, "new"), kMost, kUsual);
+    queue.enqueue(now, entry(number, 1, "new"), kMaxWaiting, kAverageTime);
   }
-  line.join(now, entry(4, 1, "busy"), kMost, kUsual);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 1U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 2U);
-  EXPECT_EQ(line.take_next(now, kUsual, anybody), 4U);
+  queue.enqueue(now, entry(4, 1, "busy"), kMaxWaiting, kAverageTime);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 1U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 2U);
+  EXPECT_EQ(queue.take_next(now, kAverageTime, any_entry), 4U);
 }
 
-TEST(StatementLineTest, AFullLineLosesTheOneThatGoesLast) {
-  StatementLine line;
+TEST(StatementQueueTest, AFullQueueDropsTheLastStatementInOrder) {
+  StatementQueue queue;
   const core::Instant now{};
-  line.join(now, entry(1, 1), 2, kUsual);
-  line.join(now, entry(2, 2), 2, kUsual);
-  const JoinOutcome urgent = line.join(now, entry(3, 0), 2, kUsual);
-  EXPECT_TRUE(urgent.joined);
+  queue.enqueue(now, entry(1, 1), 2, kAverageTime);
+  queue.enqueue(now, entry(2, 2), 2, kAverageTime);
+  const EnqueueOutcome urgent = queue.enqueue(now, entry(3, 0), 2, kAverageTime);
+  EXPECT_TRUE(urgent.accepted);
   EXPECT_EQ(urgent.displaced, 2U);
-  const JoinOutcome cheap = line.join(now, entry(4, 2), 2, kUsual);
-  EXPECT_FALSE(cheap.joined);
+  const EnqueueOutcome cheap = queue.enqueue(now, entry(4, 2), 2, kAverageTime);
+  EXPECT_FALSE(cheap.accepted);
   EXPECT_EQ(cheap.displaced, std::nullopt);
-  EXPECT_EQ(line.size(), 2U);
+  EXPECT_EQ(queue.size(), 2U);
 }
 
-TEST(StatementLineTest, TenantsThatUsedNoMoreThanOthersAreForgotten) {
-  StatementLine line;
+TEST(StatementQueueTest, TenantsThatUsedNoMoreThanOthersAreForgotten) {
+  StatementQueue queue;
   for (int number = 0; number < 1000; ++number) {
-    line.note_started(core::TenantName("t" + std::to_string(number)), kUsual);
-    line.note_started(core::TenantName("busy"), kUsual);
+    queue.note_started(core::TenantName("t" + std::to_string(number)), kAverageTime);
+    queue.note_started(core::TenantName("busy"), kAverageTime);
   }
-  EXPECT_LE(line.tenants(), 3U);
+  EXPECT_LE(queue.tenants(), 3U);
 }
 
 // --- Under load
@@ -190,24 +190,24 @@
   std::sort(asks.begin(), asks.end(), [](const Ask& left, const Ask& right) { return left.at < right.at; });
   std::uniform_int_distribution<int> micros(5'000, 13'000);
   std::multimap<core::Instant, std::pair<std::string, core::Duration>> running;
-  StatementLine line;
+  StatementQueue queue;
   std::size_t next = 0;
   while (next < asks.size() || !running.empty()) {
     const bool arrives = next < asks.size() && (running.empty() || asks[next].at <= running.begin()->first);
     const core::Instant now = arrives ? asks[next].at : running.begin()->first;
     if (arrives) {
-      LineEntry asked = entry(next, asks[next].priority, asks[next].tenant);
+      QueueEntry asked = entry(next, asks[next].priority, asks[next].tenant);
       asked.goal = now + asks[next].goal;
-      line.join(now, asked, kMost, kUsual);
+      queue.enqueue(now, asked, kMaxWaiting, kAverageTime);
       ++next;
     } else {
       const auto& [tenant, taken] = running.begin()->second;
-      line.note_used(core::TenantName(tenant), taken - kUsual);
+      queue.note_used(core::TenantName(tenant), taken - kAverageTime);
       running.erase(running.begin());
     }
     const bool later = now > core::Instant{} + milliseconds(500);
     while (running.size() < slots - (later ? lost : 0)) {
-      const auto taken = line.take_next(now, kUsual, anybody);
+      const auto taken = queue.take_next(now, kAverageTime, any_entry);
       if (!taken) {
         break;
       }
@@ -232,7 +232,7 @@
   return in_time / all;
 }
 
-TEST(StatementLineLoadTest, AFloodOfACheapClassDoesNotMakeUrgentOnesLate) {
+TEST(StatementQueueLoadTest, AFloodOfLowPriorityRequestsDoesNotMakeUrgentOnesLate) {
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(seed);
     std::vector<Ask> asks;
@@ -243,7 +243,7 @@
   }
 }
 
-TEST(StatementLineLoadTest, ATenthOfTheSlotsGoneDoesNotMakeUrgentOnesLate) {
+TEST(StatementQueueLoadTest, LosingATenthOfTheSlotsDoesNotMakeUrgentRequestsLate) {
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(seed);
     std::vector<Ask> asks;
@@ -256,7 +256,7 @@
 
 /// Latencies of ten tenants with 20 requests a second each on 4 slots, while the tenant "flood" sends `flood`
 /// requests a second.
-std::vector<core::Duration> calm_latencies(std::uint32_t seed, int flood) {
+std::vector<core::Duration> other_tenants_latencies(std::uint32_t seed, int flood) {
   std::mt19937 random(seed);
   std::vector<Ask> asks;
   for (int tenant = 0; tenant < 10; ++tenant) {
@@ -274,16 +274,16 @@
   return latencies;
 }
 
-TEST(StatementLineLoadTest, ATenantAtEightTimesItsUsualDelaysOthersByOneStatementAtMost) {
+TEST(StatementQueueLoadTest, ATenantAtEightTimesItsRateDelaysOthersByOneStatementAtMost) {
   constexpr int kUsualRate = 50;
   constexpr core::Duration kLongest = milliseconds(13);  // A running statement is not interrupted.
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-    const auto usual = calm_latencies(seed, kUsualRate);
-    const auto flooded = calm_latencies(seed, 8 * kUsualRate);
-    const std::size_t middle = usual.size() / 2;
-    const std::size_t late = usual.size() * 95 / 100;
-    EXPECT_LE(flooded[middle], usual[middle] + kLongest) << "seed " << seed;
-    EXPECT_LE(flooded[late], usual[late] + kLongest) << "seed " << seed;
+    const auto normal = other_tenants_latencies(seed, kUsualRate);
+    const auto flooded = other_tenants_latencies(seed, 8 * kUsualRate);
+    const std::size_t middle = normal.size() / 2;
+    const std::size_t late = normal.size() * 95 / 100;
+    EXPECT_LE(flooded[middle], normal[middle] + kLongest) << "seed " << seed;
+    EXPECT_LE(flooded[late], normal[late] + kLongest) << "seed " << seed;
   }
 }
 
