--- a/src/pooling/backend_health.cpp
+++ b/src/pooling/backend_health.cpp
@@ -72,7 +72,7 @@
   return true;
 }
 
-void BackendHealth::on_probe(core::Instant now, bool answered, bool refused) {
+void BackendHealth::on_probe_result(core::Instant now, bool answered, bool refused) {
   probing_ = false;
   if (answered) {
     note_response(now);
--- a/src/pooling/backend_health.hpp
+++ b/src/pooling/backend_health.hpp
@@ -38,11 +38,11 @@
   /// The group's primary or term has changed: clears the suspicions that concern the database as a primary.
   void on_new_term();
 
-  /// True when a probe is due now. It then counts as sent, and its result must be passed to on_probe.
+  /// True when a probe is due now. It then counts as sent, and its result must be passed to on_probe_result.
   bool take_probe(core::Instant now);
   /// The result of the probe. `refused`: the connection was refused at once, which is stronger evidence of a
   /// failure than a missing reply.
-  void on_probe(core::Instant now, bool answered, bool refused);
+  void on_probe_result(core::Instant now, bool answered, bool refused);
 
   /// False while the database is considered unreachable.
   [[nodiscard]] bool usable() const { return failures_ < kFailuresUntilUnreachable; }
@@ -82,6 +82,6 @@
 /// Between probes of a database that is considered unreachable.
 inline constexpr core::Duration kUnreachableProbeInterval = std::chrono::milliseconds(400);
 /// A probe without a reply for this long has failed.
-inline constexpr core::Duration kDoubtProbeTimeout = std::chrono::milliseconds(250);
+inline constexpr core::Duration kSuspectProbeTimeout = std::chrono::milliseconds(250);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/backend_pool.cpp
+++ b/src/pooling/backend_pool.cpp
@@ -465,14 +465,14 @@
 
 /// Uses a new connection: an existing one may hang although the database is healthy.
 awaitable<void> BackendPool::probe(std::shared_ptr<BackendPool> self) {
-  auto backend = co_await self->connector_.connect(self->address_, kDoubtProbeTimeout);
+  auto backend = co_await self->connector_.connect(self->address_, kSuspectProbeTimeout);
   bool answered = backend.has_value();
   bool refused = false;
   if (!backend) {
     answered = backend.error().kind == core::ErrorKind::kOverloaded;
     refused = backend.error().kind == core::ErrorKind::kConnectionRefused;
   }
-  self->health_.on_probe(core::BootClock::now(), answered, refused);
+  self->health_.on_probe_result(core::BootClock::now(), answered, refused);
   if (!self->health_.usable()) {
     self->close_retryable();
   }
--- a/src/pooling/backend_pool.hpp
+++ b/src/pooling/backend_pool.hpp
@@ -24,7 +24,7 @@
 #include "pooling/pooled_connection.hpp"
 #include "pooling/replica_reach.hpp"
 #include "pooling/session_state.hpp"
-#include "pooling/statement_line.hpp"
+#include "pooling/statement_queue.hpp"
 #include "pooling/tenant_demand.hpp"
 
 namespace pipitpond::pooling {
--- a/src/pooling/backends.cpp
+++ b/src/pooling/backends.cpp
@@ -111,7 +111,7 @@
   return found == groups_.end() ? nullptr : &found->second;
 }
 
-std::optional<BackendChoice> Backends::as_chosen(const core::DatabaseId& database) const {
+std::optional<BackendChoice> Backends::choice_for(const core::DatabaseId& database) const {
   for (const auto& [name, view] : groups_) {
     const auto found = view.members.find(database);
     if (found != view.members.end()) {
--- a/src/pooling/backends.hpp
+++ b/src/pooling/backends.hpp
@@ -14,7 +14,7 @@
 #include "core/clock.hpp"
 #include "pooling/backend_pool.hpp"
 #include "pooling/freshness.hpp"
-#include "pooling/primary_questions.hpp"
+#include "pooling/primary_proof_requests.hpp"
 #include "pooling/primary_rounds.hpp"
 #include "pooling/statement_forwarder.hpp"
 #include "pooling/statement_lease.hpp"
@@ -23,7 +23,7 @@
 namespace pipitpond::pooling {
 
 /// The requirements of a statement on the database that runs it.
-struct BackendNeed {
+struct BackendRequirement {
   bool primary = false;  ///< Set for writes, and for reads that must see every acknowledged write.
   /// For reads at other databases: the position that the log must reach. Empty: not known, so that only the
   /// primary can serve the read.
@@ -52,16 +52,16 @@
   void close();
 
   /// Returns the best database for a statement; empty when none can serve it now.
-  [[nodiscard]] std::optional<BackendChoice> choose(const core::GroupName& group, const BackendNeed& need,
-                                                    core::Instant now) const;
+  [[nodiscard]] std::optional<BackendChoice> choose(const core::GroupName& group,
+                                                    const BackendRequirement& need, core::Instant now) const;
   /// Acquires a connection to the chosen database: one of this daemon's own or, where another owner serves
   /// the statement better or this daemon has none, one at another owner. Errors as BackendPool::acquire.
   boost::asio::awaitable<core::Result<std::unique_ptr<StatementLease>>> acquire(BackendChoice choice,
                                                                                 ConnectionRequest request);
   /// True when the database that was chosen as the primary is certain to be it still: this daemon knows no
   /// newer term, and its lease from control was valid until `now`.
-  [[nodiscard]] bool surely_primary(const core::GroupName& group, const BackendChoice& choice,
-                                    core::Instant now) const;
+  [[nodiscard]] bool is_certain_primary(const core::GroupName& group, const BackendChoice& choice,
+                                        core::Instant now) const;
   /// True for the group's primary according to the newest configuration.
   [[nodiscard]] bool is_primary(const core::GroupName& group, const core::DatabaseId& database) const;
   /// The position that a log must have reached for a read that may be `staleness` old.
@@ -84,32 +84,32 @@
   /// In a fleet of 291 daemons each serves a given group only about every 2 s. What a daemon has learned from
   /// the primary is then too old for its next read, which would go to the primary again. The few owners see
   /// all replies of the primary, and their positions let replicas serve such reads.
-  boost::asio::awaitable<void> ask_position(core::GroupName group, core::Duration staleness);
+  boost::asio::awaitable<void> request_position(core::GroupName group, core::Duration staleness);
   /// True while such a request is in flight.
   [[nodiscard]] bool awaits_position(const core::GroupName& group) const;
   /// The positions that this daemon, as an owner, returns to other daemons.
   [[nodiscard]] PositionReply known_positions(const PositionRequest& request, core::Instant now) const;
   /// The choice of the given database under the current configuration; empty when the database is unknown.
-  [[nodiscard]] std::optional<BackendChoice> as_chosen(const core::DatabaseId& database) const;
+  [[nodiscard]] std::optional<BackendChoice> choice_for(const core::DatabaseId& database) const;
 
   /// True when a read may go to the primary because no position is known with which another database could
   /// serve it. One read in kPositionRefreshInterval is enough: its reply gives a position for all others.
-  bool take_position_seek(const core::GroupName& group, core::Instant now);
+  bool begin_position_refresh(const core::GroupName& group, core::Instant now);
   /// False while this daemon has no valid lease from control. A reply alone then does not prove that the
   /// database is still the primary.
-  [[nodiscard]] bool may_trust_primaries(core::Instant now) const { return agent_.lease_valid(now); }
+  [[nodiscard]] bool has_control_lease(core::Instant now) const { return agent_.lease_valid(now); }
   /// Without a lease from control: lets the group's databases prove which one is the primary, for a read that
   /// arrived at `moment`. Asks an owner of the primary for a proof; asks the databases itself where this
   /// daemon is an owner or no owner can answer. See PrimaryProof.
-  void ask_databases(const core::GroupName& group, core::Instant moment, core::Instant now);
+  void request_primary_proof(const core::GroupName& group, core::Instant moment, core::Instant now);
   /// Obtains, as an owner, a proof of the primary for another daemon. Fails with kUnavailable when the
   /// databases give none in time.
   boost::asio::awaitable<core::Result<ShownPrimaryReply>> show_primary(ShownPrimaryRequest request);
   /// True when replies to status requests sent at or after `moment` prove that the log of the group's primary
   /// holds every write acknowledged before `moment`.
-  [[nodiscard]] bool primary_shown_since(const core::GroupName& group, core::Instant moment) const;
+  [[nodiscard]] bool primary_proven_since(const core::GroupName& group, core::Instant moment) const;
   /// When the newest round that proved any group's primary began; the clock's epoch before the first.
-  [[nodiscard]] core::Instant last_shown_primary() const { return last_proof_; }
+  [[nodiscard]] core::Instant last_primary_proof() const { return last_proof_; }
   [[nodiscard]] const ProofRequestCounters& proof_request_counters() const {
     return proof_requests_.counters();
   }
@@ -165,9 +165,11 @@
   void report_suspicions(core::Instant now);
   void log_suspicions(const std::map<core::DatabaseId, protocol::Suspicion>& suspicions);
   [[nodiscard]] const GroupView* find(const core::GroupName& group) const;
-  [[nodiscard]] std::optional<BackendChoice> choose_for_read(const GroupView& view, const BackendNeed& need,
+  [[nodiscard]] std::optional<BackendChoice> choose_for_read(const GroupView& view,
+                                                             const BackendRequirement& need,
                                                              core::Instant now) const;
-  [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view, const BackendNeed& need,
+  [[nodiscard]] std::optional<BackendChoice> choose_primary(const GroupView& view,
+                                                            const BackendRequirement& need,
                                                             core::Instant now) const;
   /// True when another owner of the database can be reached and may have a connection to it.
   [[nodiscard]] bool other_owners_reachable(const BackendPool& pool, core::Instant now) const;
--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -8,7 +8,7 @@
 
 namespace pipitpond::pooling {
 
-std::optional<BackendChoice> Backends::choose(const core::GroupName& group, const BackendNeed& need,
+std::optional<BackendChoice> Backends::choose(const core::GroupName& group, const BackendRequirement& need,
                                               core::Instant now) const {
   const GroupView* view = find(group);
   if (view == nullptr) {
@@ -22,7 +22,7 @@
   return choose_primary(*view, need, now);
 }
 
-std::optional<BackendChoice> Backends::choose_primary(const GroupView& view, const BackendNeed& need,
+std::optional<BackendChoice> Backends::choose_primary(const GroupView& view, const BackendRequirement& need,
                                                       core::Instant now) const {
   const auto primary = view.members.find(view.primary);
   if (primary == view.members.end() || need.avoided.contains(view.primary)) {
@@ -58,7 +58,7 @@
   return forwarder_.prefers_another(owners, pool, *request.tenant, now);
 }
 
-std::optional<BackendChoice> Backends::choose_for_read(const GroupView& view, const BackendNeed& need,
+std::optional<BackendChoice> Backends::choose_for_read(const GroupView& view, const BackendRequirement& need,
                                                        core::Instant now) const {
   std::shared_ptr<BackendPool> best;
   core::Duration least{};
--- a/src/pooling/backends_positions.cpp
+++ b/src/pooling/backends_positions.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-bool Backends::surely_primary(const core::GroupName& group, const BackendChoice& choice,
-                              core::Instant now) const {
+bool Backends::is_certain_primary(const core::GroupName& group, const BackendChoice& choice,
+                                  core::Instant now) const {
   const GroupView* view = find(group);
   return view != nullptr && choice.is_primary && view->term == choice.term &&
          view->primary == choice.pool->address().database && agent_.lease_valid(now);
@@ -36,7 +36,7 @@
 
 void Backends::note_position(const core::GroupName& group, const BackendChoice& choice, core::Instant sent,
                              core::Instant now, const core::LogPosition& position) {
-  if (surely_primary(group, choice, now)) {
+  if (is_certain_primary(group, choice, now)) {
     groups_.at(group).positions.record(sent, position);
   }
 }
@@ -54,7 +54,7 @@
   }
 }
 
-void Backends::ask_databases(const core::GroupName& group, core::Instant moment, core::Instant now) {
+void Backends::request_primary_proof(const core::GroupName& group, core::Instant moment, core::Instant now) {
   const std::optional<RoundSubject> subject = round_subject(group, now);
   if (subject && !request_proof_from_owners(group, moment, now)) {
     rounds_.ask(now, *subject);
@@ -127,17 +127,17 @@
   }
 }
 
-bool Backends::primary_shown_since(const core::GroupName& group, core::Instant moment) const {
+bool Backends::primary_proven_since(const core::GroupName& group, core::Instant moment) const {
   const GroupView* view = find(group);
   const ShownPrimary* shown = rounds_.shown(group);
   return view != nullptr && shown != nullptr && shown->primary == view->primary && shown->begun >= moment;
 }
 
 bool Backends::primary_recently_certain(const core::GroupName& group, core::Instant now) const {
-  return agent_.lease_valid(now) || primary_shown_since(group, now - kRecentProofAge);
+  return agent_.lease_valid(now) || primary_proven_since(group, now - kRecentProofAge);
 }
 
-boost::asio::awaitable<void> Backends::ask_position(core::GroupName group, core::Duration staleness) {
+boost::asio::awaitable<void> Backends::request_position(core::GroupName group, core::Duration staleness) {
   const core::Instant asked = core::BootClock::now();
   const auto found = groups_.find(group);
   if (found == groups_.end() || found->second.position_request_in_flight ||
@@ -195,7 +195,7 @@
   return reply;
 }
 
-bool Backends::take_position_seek(const core::GroupName& group, core::Instant now) {
+bool Backends::begin_position_refresh(const core::GroupName& group, core::Instant now) {
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     return true;
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -122,13 +122,14 @@
                                  const TransactionPlace& place, TraceEvent event,
                                  const StatementReply& reply) const;
   std::optional<Search> begin_search(Statement statement) const;
-  [[nodiscard]] BackendNeed need_of(const Search& search, core::Instant now) const;
+  [[nodiscard]] BackendRequirement need_of(const Search& search, core::Instant now) const;
   /// A read that only the primary can serve, because no position is known that a replica would need.
-  [[nodiscard]] static bool lacks_position(const Search& search, const BackendNeed& need);
+  [[nodiscard]] static bool lacks_position(const Search& search, const BackendRequirement& need);
   /// Why a read must wait before it is sent anywhere; null: it need not.
-  [[nodiscard]] const char* reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now);
-  [[nodiscard]] bool surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
-                                  core::Instant now) const;
+  [[nodiscard]] const char* reason_to_wait(const Search& search, const BackendRequirement& need,
+                                           core::Instant now);
+  [[nodiscard]] bool surely_fresh(const Search& search, const BackendChoice& choice,
+                                  const BackendRequirement& need, core::Instant now) const;
   [[nodiscard]] ConnectionRequest connection_request(const Search& search) const;
   boost::asio::awaitable<std::optional<StatementReply>> attempt(Search& search);
   boost::asio::awaitable<std::optional<StatementReply>> attempt_at(Search& search, BackendChoice choice,
--- a/src/pooling/caller_session_search.cpp
+++ b/src/pooling/caller_session_search.cpp
@@ -118,8 +118,8 @@
   return failed_reply(failure.code, failure.text, TransactionState::kIdle);
 }
 
-BackendNeed CallerSession::need_of(const Search& search, core::Instant now) const {
-  BackendNeed need;
+BackendRequirement CallerSession::need_of(const Search& search, core::Instant now) const {
+  BackendRequirement need;
   need.primary = search.needs_primary;
   need.avoided = search.avoided;
   if (search.route.kind == protocol::RouteKind::kPrimary) {
@@ -134,29 +134,30 @@
   return need;
 }
 
-bool CallerSession::lacks_position(const Search& search, const BackendNeed& need) {
+bool CallerSession::lacks_position(const Search& search, const BackendRequirement& need) {
   return !need.primary && !need.after && !may_write(search.statement);
 }
 
 /// Only the primary can serve a read, or begin a transaction, for which no position is known. One such read
 /// at a time gives the position for all. Without a lease the primary's answer would not be certain, so that
 /// the databases are asked first who it is.
-const char* CallerSession::reason_to_wait(const Search& search, const BackendNeed& need, core::Instant now) {
+const char* CallerSession::reason_to_wait(const Search& search, const BackendRequirement& need,
+                                          core::Instant now) {
   if (may_write(search.statement) || need.after) {
     return nullptr;
   }
   const core::GroupName& group = search.route.group;
-  if (services_.backends.primary_shown_since(group, search.started)) {
+  if (services_.backends.primary_proven_since(group, search.started)) {
     return nullptr;
   }
-  if (!services_.backends.may_trust_primaries(now)) {
-    services_.backends.ask_databases(group, search.started, now);
+  if (!services_.backends.has_control_lease(now)) {
+    services_.backends.request_primary_proof(group, search.started, now);
     return "the primary is not certain";
   }
   if (!need.primary && services_.backends.awaits_position(group)) {
     return "an owner was asked for the primary's position";
   }
-  if (!need.primary && !services_.backends.take_position_seek(group, now)) {
+  if (!need.primary && !services_.backends.begin_position_refresh(group, now)) {
     return "another read asks for the primary's position";
   }
   return nullptr;
@@ -176,14 +177,14 @@
 
 awaitable<std::optional<StatementReply>> CallerSession::attempt(Search& search) {
   if (lacks_position(search, need_of(search, core::BootClock::now() + search.longest_wait))) {
-    co_await services_.backends.ask_position(search.route.group,
-                                             std::chrono::milliseconds(search.route.max_staleness_ms));
+    co_await services_.backends.request_position(search.route.group,
+                                                 std::chrono::milliseconds(search.route.max_staleness_ms));
   }
   const core::Instant now = core::BootClock::now();
   if (auto refusal = refuse_key(search)) {
     co_return refusal;  // It may have waited for long since it was admitted.
   }
-  const BackendNeed need = need_of(search, now + search.longest_wait);
+  const BackendRequirement need = need_of(search, now + search.longest_wait);
   if (const char* reason = reason_to_wait(search, need, now)) {
     search.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
     search.last_failure = Failure{FailureCode::kBusy, reason};
@@ -218,7 +219,7 @@
   if (auto refusal = refuse_key(search)) {
     co_return refusal;
   }
-  const BackendNeed need = need_of(search, sent + lease->longest_wait());
+  const BackendRequirement need = need_of(search, sent + lease->longest_wait());
   if (!choice.is_primary && lacks_position(search, need)) {
     // A replica's answer would prove nothing. The next attempt leaves room for such a wait.
     search.longest_wait = lease->longest_wait();
@@ -266,14 +267,14 @@
 /// A position that the database had to reach makes a read fresh, but for routes whose reads must see every
 /// write: there only the primary will do. That it is one is known by control's lease, or was shown by the
 /// databases after the read was asked for.
-bool CallerSession::surely_fresh(const Search& search, const BackendChoice& choice, const BackendNeed& need,
-                                 core::Instant now) const {
+bool CallerSession::surely_fresh(const Search& search, const BackendChoice& choice,
+                                 const BackendRequirement& need, core::Instant now) const {
   const bool by_position = search.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
   const Backends& backends = services_.backends;
   const core::GroupName& group = search.route.group;
   const bool shown = choice.is_primary && backends.is_primary(group, choice.pool->address().database) &&
-                     backends.primary_shown_since(group, search.started);
-  return by_position || shown || backends.surely_primary(group, choice, now);
+                     backends.primary_proven_since(group, search.started);
+  return by_position || shown || backends.is_certain_primary(group, choice, now);
 }
 
 std::optional<StatementReply> CallerSession::on_lost(Search& search, const BackendChoice& choice,
--- a/src/pooling/daemon.cpp
+++ b/src/pooling/daemon.cpp
@@ -192,7 +192,7 @@
   if (routes_.version() == 0) {
     return "No routes have been received from control yet.";
   }
-  const core::Instant last_certain = std::max(lease_lost_since_, backends_.last_shown_primary());
+  const core::Instant last_certain = std::max(lease_lost_since_, backends_.last_primary_proof());
   if (!had_lease_ && core::BootClock::now() - last_certain > kReadyWithoutLease) {
     return "Control is out of reach.";
   }
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -149,7 +149,7 @@
   auto held = std::make_shared<Held>();
   held->peer = peer;
   held->lease.reset(new ConnectionLease(std::move(lease.value())));
-  held->choice = backends_.as_chosen(asked.database);
+  held->choice = backends_.choice_for(asked.database);
   co_return co_await run_in_transaction(std::move(held), std::move(asked));
 }
 
@@ -164,7 +164,7 @@
   held->running = false;
   held->rested_since = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
-    // For daemons that ask this one for positions: see Backends::ask_position.
+    // For daemons that ask this one for positions: see Backends::request_position.
     const core::GroupName& group = held->choice->pool->address().group;
     backends_.note_position(group, *held->choice, sent, held->rested_since, *ran.value().position);
   }
--- a/src/pooling/owner_preference.cpp
+++ b/src/pooling/owner_preference.cpp
@@ -11,7 +11,7 @@
 constexpr int kInDatabaseZone = 1;
 constexpr int kElsewhere = 2;
 
-int distance_of(const OwnerCandidate& owner, const OwnerQuestion& query) {
+int distance_of(const OwnerCandidate& owner, const OwnerQuery& query) {
   if (*owner.zone == query.from) {
     return kInCallerZone;
   }
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& query) {
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuery& query) {
   const int distance = distance_of(owner, query);
   if (query.tenant.empty()) {
     return OwnerRank{distance, owner.outstanding, owner.preference};
--- a/src/pooling/owner_preference.hpp
+++ b/src/pooling/owner_preference.hpp
@@ -18,7 +18,7 @@
 };
 
 /// The statement's tenant, the zone of the forwarding daemon and the zone of the database.
-struct OwnerQuestion {
+struct OwnerQuery {
   const core::TenantName& tenant;  ///< Empty: none in particular.
   const core::ZoneName& from;
   const core::ZoneName& database;
@@ -46,6 +46,6 @@
 /// requests opened a connection when each daemon had its own order, and 64% with a common one. Without a
 /// tenant each daemon prefers another owner, to spread the load: in a common order all daemons of a zone
 /// would use the same one.
-OwnerRank rank(const OwnerCandidate& owner, const OwnerQuestion& query);
+OwnerRank rank(const OwnerCandidate& owner, const OwnerQuery& query);
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/primary_questions.cpp
+++ b/src/pooling/primary_proof_requests.cpp
@@ -1,4 +1,4 @@
-#include "pooling/primary_questions.hpp"
+#include "pooling/primary_proof_requests.hpp"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/src/pooling/primary_questions.hpp
+++ b/src/pooling/primary_proof_requests.hpp
@@ -79,7 +79,7 @@
 /// Time in which an owner replies: the current round may have to end before the one that counts begins.
 inline constexpr core::Duration kOwnerProofTimeout = std::chrono::milliseconds(120);
 /// Allowance for the round trip to an owner, the same as for positions.
-inline constexpr core::Duration kProofWay = std::chrono::milliseconds(40);
+inline constexpr core::Duration kProofRoundTripAllowance = std::chrono::milliseconds(40);
 /// Owners tried in turn for one proof.
 inline constexpr std::size_t kMaxOwnersTried = 2;
 /// After no owner gave a proof, this daemon asks the databases itself for this long.
--- a/src/pooling/statement_forwarder.cpp
+++ b/src/pooling/statement_forwarder.cpp
@@ -9,7 +9,7 @@
 #include "logging/logging.hpp"
 #include "ownership/owner_choice.hpp"
 #include "pooling/owner_preference.hpp"
-#include "pooling/primary_questions.hpp"
+#include "pooling/primary_proof_requests.hpp"
 #include "wire/codec.hpp"
 
 namespace pipitpond::pooling {
@@ -283,7 +283,7 @@
   }
   tried.push_back(link->daemon);
   const BatchNumber number = link->health.on_sent(sent, false);
-  const core::Duration timeout = std::chrono::milliseconds(request.timeout_ms) + kProofWay;
+  const core::Duration timeout = std::chrono::milliseconds(request.timeout_ms) + kProofRoundTripAllowance;
   const auto answer =
       co_await link->channel->call(wire::MessageType::kShownPrimary, wire::pack(request), timeout);
   note_sign_of_life(*link, number, answer);
@@ -298,7 +298,7 @@
                                                            const BackendPool& pool,
                                                            const core::TenantName& tenant,
                                                            core::Instant now) const {
-  const OwnerQuestion question{tenant, zone_, pool.zone()};
+  const OwnerQuery question{tenant, zone_, pool.zone()};
   LinkPointer best;
   OwnerRank least;
   for (const core::DaemonId& owner : owners) {
@@ -321,7 +321,7 @@
 bool StatementForwarder::prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
                                          const core::TenantName& tenant, core::Instant now) const {
   const LinkPointer best = choose(owners, {}, pool, tenant, now);
-  const OwnerQuestion question{tenant, zone_, pool.zone()};
+  const OwnerQuery question{tenant, zone_, pool.zone()};
   return best && rank(OwnerCandidate{&best->daemon, &best->zone, best->outstanding, best->preference},
                       question) < rank(OwnerCandidate{&self_, &zone_, 0, 0}, question);
 }
@@ -338,9 +338,9 @@
 awaitable<void> StatementForwarder::probe(LinkPointer link) {
   const bool was_usable = link->health.usable();
   const auto answer =
-      co_await link->channel->call(wire::MessageType::kPeerProbe, std::string(), kDoubtProbeTimeout);
+      co_await link->channel->call(wire::MessageType::kPeerProbe, std::string(), kSuspectProbeTimeout);
   const bool refused = !answer && answer.error().kind != core::ErrorKind::kTimeout;
-  link->health.on_probe(core::BootClock::now(), answer.has_value(), refused);
+  link->health.on_probe_result(core::BootClock::now(), answer.has_value(), refused);
   if (was_usable && !link->health.usable()) {
     logging::logger("forward")->warn("event=suspect daemon={} suspicion=unreachable given_up={}",
                                      link->daemon.value(), link->outstanding);
--- a/src/pooling/statement_line.cpp
+++ b/src/pooling/statement_queue.cpp
@@ -1,4 +1,4 @@
-#include "pooling/statement_line.hpp"
+#include "pooling/statement_queue.hpp"
 
 #include <algorithm>
 #include <numeric>
--- a/tests/pooling/backend_health_test.cpp
+++ b/tests/pooling/backend_health_test.cpp
@@ -36,7 +36,7 @@
   pass(310);
   ASSERT_TRUE(health_.take_probe(now_));
   pass(250);
-  health_.on_probe(now_, false, false);
+  health_.on_probe_result(now_, false, false);
   EXPECT_FALSE(health_.usable());
   EXPECT_EQ(health_.suspicion(now_, false), Suspicion::kUnreachable);
 }
@@ -45,7 +45,7 @@
   const BatchNumber batch = health_.on_sent(now_, false);
   health_.on_abandoned(now_, batch, true);
   ASSERT_TRUE(health_.take_probe(now_));
-  health_.on_probe(now_, true, false);
+  health_.on_probe_result(now_, true, false);
   EXPECT_TRUE(health_.usable());
   EXPECT_FALSE(health_.suspicion(now_, true));
 }
@@ -54,14 +54,14 @@
   const BatchNumber batch = health_.on_sent(now_, false);
   health_.on_abandoned(now_, batch, true);
   ASSERT_TRUE(health_.take_probe(now_));
-  health_.on_probe(now_, false, true);
+  health_.on_probe_result(now_, false, true);
   EXPECT_FALSE(health_.usable());
 }
 
 TEST_F(BackendHealthTest, ANewConnectionMakesItUsableAgain) {
   health_.on_connect_failed(now_);
   ASSERT_TRUE(health_.take_probe(now_));
-  health_.on_probe(now_, false, true);
+  health_.on_probe_result(now_, false, true);
   ASSERT_FALSE(health_.usable());
   health_.on_connected(now_);
   EXPECT_TRUE(health_.usable());
--- a/tests/pooling/concurrency_load_test.cpp
+++ b/tests/pooling/concurrency_load_test.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "pooling/concurrency_limit.hpp"
-#include "pooling/statement_line.hpp"
+#include "pooling/statement_queue.hpp"
 
 namespace pipitpond::pooling {
 namespace {
--- a/tests/pooling/shown_primary_test.cpp
+++ b/tests/pooling/shown_primary_test.cpp
@@ -276,7 +276,7 @@
   const auto asked = ask_owner(0);
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return asked->done(); }));
   EXPECT_FALSE(asked->value->has_value());
-  EXPECT_LT(core::BootClock::now() - begun, kOwnerProofTimeout + kProofWay);
+  EXPECT_LT(core::BootClock::now() - begun, kOwnerProofTimeout + kProofRoundTripAllowance);
 }
 
 TEST_F(ProofSharingTest, AnUnknownGroupAndAMalformedRequestAreRefused) {
--- a/tests/pooling/spreading_test.cpp
+++ b/tests/pooling/spreading_test.cpp
@@ -81,7 +81,7 @@
     agent.set_configuration(configuration);
     Backends backends(io, connector, agent, reader.id, reader.zone);
     backends.apply(configuration);
-    BackendNeed need;
+    BackendRequirement need;
     need.after = core::LogPosition{1, 1};
     const auto choice = backends.choose(core::GroupName("g"), need, core::BootClock::now());
     ASSERT_TRUE(choice);
--- a/tests/pooling/statement_forward_test.cpp
+++ b/tests/pooling/statement_forward_test.cpp
@@ -191,7 +191,7 @@
 TEST_F(StatementForwardTest, NoReplicaIsAskedWithAPositionThatIsTooOldAfterTheLongestWait) {
   // At an owner the statement may wait for 180 ms: what covers 1,500 ms of staleness now does not cover it
   // then, and a replica's answer without a position would prove nothing.
-  const auto primary = asking_.backends.as_chosen(core::DatabaseId("a"));
+  const auto primary = asking_.backends.choice_for(core::DatabaseId("a"));
   const core::Instant now = core::BootClock::now();
   asking_.backends.note_position(core::GroupName("g"), *primary, now - milliseconds(1400), now, {1, 1});
   CallerSession reader(asking_.services, "board");
@@ -209,7 +209,7 @@
   EXPECT_TRUE(owner_.backends.known_positions(PositionRequest{group, 1000}, now).positions.empty());
   EXPECT_TRUE(
       owner_.backends.known_positions(PositionRequest{core::GroupName("x"), 1000}, now).positions.empty());
-  const auto primary = owner_.backends.as_chosen(core::DatabaseId("a"));
+  const auto primary = owner_.backends.choice_for(core::DatabaseId("a"));
   ASSERT_TRUE(primary && primary->is_primary);
   owner_.backends.note_position(group, *primary, now - milliseconds(800), now, {1, 5});
   owner_.backends.note_position(group, *primary, now - milliseconds(200), now, {1, 9});
@@ -368,7 +368,7 @@
   asking_.apply(two_owners);
   slow_refusal_ = true;
   const auto choice =
-      asking_.backends.choose(core::GroupName("g"), BackendNeed{true, {}, {}}, core::BootClock::now());
+      asking_.backends.choose(core::GroupName("g"), BackendRequirement{true, {}, {}}, core::BootClock::now());
   ASSERT_TRUE(choice);
   const ConnectionRequest request{1, core::BootClock::now() + milliseconds(500), nullptr};
   auto lease = pipitpond::testing::run(io_, asking_.backends.acquire(*choice, request));
