--- a/src/pooling/primary_proof_requests.cpp
+++ b/src/pooling/primary_proof_requests.cpp
@@ -40,7 +40,7 @@
                                                               core::Instant moment,
                                                               ProofRequestSubject subject) {
   std::vector<core::DaemonId> tried;
-  while (tried.size() < kMaxOwnersTried) {
+  while (tried.size() < kMaxOwnersAskedForProof) {
     const core::Instant asked = core::BootClock::now();
     const std::size_t tried_before = tried.size();
     const ShownPrimaryRequest request = request_for(subject.group, asked - moment);
--- a/src/pooling/primary_proof_requests.hpp
+++ b/src/pooling/primary_proof_requests.hpp
@@ -81,7 +81,7 @@
 /// Allowance for the round trip to an owner, the same as for positions.
 inline constexpr core::Duration kProofRoundTripAllowance = std::chrono::milliseconds(40);
 /// Owners tried in turn for one proof.
-inline constexpr std::size_t kMaxOwnersTried = 2;
+inline constexpr std::size_t kMaxOwnersAskedForProof = 2;
 /// After no owner gave a proof, this daemon asks the databases itself for this long.
 inline constexpr core::Duration kOwnerProofBackoff = std::chrono::milliseconds(250);
 
