--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -121,7 +121,7 @@
   config.election_timeout_max = options_.election_timeout_max;
   config.open_membership = options_.open_membership;
   // A majority must be left when as many are lost.
-  config.least_voters = 2 * std::size_t{options_.tolerated_losses} + 1;
+  config.min_voters = 2 * std::size_t{options_.tolerated_losses} + 1;
   ReplicaEvents events;
   events.configuration_changed = [this](const protocol::Configuration& value) { on_configuration(value); };
   events.leadership_changed = [this](bool leading) { on_leadership(leading); };
@@ -136,7 +136,7 @@
 void ControlServer::make_services() {
   duties_ = std::make_unique<LeaderDuties>(
       io_, *replica_, options_.daemon_lease,
-      [this](DatabaseCallAnswers answers) { return make_database_calls(std::move(answers)); });
+      [this](DatabaseCallCallbacks answers) { return make_database_calls(std::move(answers)); });
   const auto forward = [this](core::Endpoint leader, protocol::OperatorRequest request,
                               core::Duration timeout) {
     return peers_.forward(std::move(leader), std::move(request), timeout);
@@ -156,16 +156,16 @@
   }
 }
 
-std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallAnswers answers) {
+std::unique_ptr<DatabaseCalls> ControlServer::make_database_calls(DatabaseCallCallbacks answers) {
   if (!adapters_.make_database_calls) {
     return std::make_unique<HttpDatabaseCalls>(io_, options_.database_calls, std::move(answers));
   }
-  LeaderMandate mandate;
-  mandate.holds = [this] {
+  FencedLeadership fenced_leadership;
+  fenced_leadership.holds = [this] {
     return replica_->leading() && replica_->node().has_quorum(core::BootClock::now());
   };
-  mandate.token = [this] { return replica_->node().term(); };
-  return adapters_.make_database_calls(io_, std::move(mandate), std::move(answers));
+  fenced_leadership.token = [this] { return replica_->node().term(); };
+  return adapters_.make_database_calls(io_, std::move(fenced_leadership), std::move(answers));
 }
 
 core::Result<void> ControlServer::open_ports() {
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -37,7 +37,7 @@
 using TranslateRequest = std::function<std::optional<TranslatedCall>(const http::Request&)>;
 
 /// Numbers what a leader orders from outside: grows with each change of leader.
-struct LeaderMandate {
+struct FencedLeadership {
   std::function<bool()> holds;           ///< This replica leads and surely no other one does.
   std::function<std::uint64_t()> token;  ///< The leader's term.
 };
@@ -45,7 +45,8 @@
 /// Ways in which control meets systems that don't speak its own protocols. Each may be left out.
 struct ControlAdapters {
   TranslateRequest translate_request;
-  std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, LeaderMandate, DatabaseCallAnswers)>
+  std::function<std::unique_ptr<DatabaseCalls>(boost::asio::io_context&, FencedLeadership,
+                                               DatabaseCallCallbacks)>
       make_database_calls;
 };
 
@@ -76,7 +77,7 @@
   void on_configuration(const protocol::Configuration& configuration);
   void tell_daemons(protocol::Revision revision);
   void on_leadership(bool leading);
-  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallAnswers answers);
+  std::unique_ptr<DatabaseCalls> make_database_calls(DatabaseCallCallbacks answers);
   void on_http(http::Request request, http::Responder respond);
   boost::asio::awaitable<void> serve_translated(TranslatedCall call, http::Responder respond);
   boost::asio::awaitable<void> serve_operator(http::Request request, http::Responder respond);
--- a/src/control/database_calls.cpp
+++ b/src/control/database_calls.cpp
@@ -62,7 +62,7 @@
 }  // namespace
 
 HttpDatabaseCalls::HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
-                                     DatabaseCallAnswers answers)
+                                     DatabaseCallCallbacks answers)
     : io_(io), timeouts_(timeouts), answers_(std::move(answers)) {}
 
 void HttpDatabaseCalls::probe(failover::ProbeDatabase call) {
--- a/src/control/database_calls.hpp
+++ b/src/control/database_calls.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Receives what came of a call; all on the io_context.
-struct DatabaseCallAnswers {
+struct DatabaseCallCallbacks {
   std::function<void(const database::StatusAnswer&)> status;
   std::function<void(const core::DatabaseId&)> status_failed;
   std::function<void(const failover::FenceDatabase&, const database::FenceAnswer&)> fenced;
@@ -48,12 +48,13 @@
 };
 
 /// Makes the calls of one process, which report to the given answers.
-using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallAnswers answers)>;
+using MakeDatabaseCalls = std::function<std::unique_ptr<DatabaseCalls>(DatabaseCallCallbacks answers)>;
 
 /// The project's own protocol: HTTP with JSON.
 class HttpDatabaseCalls : public DatabaseCalls {
  public:
-  HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts, DatabaseCallAnswers answers);
+  HttpDatabaseCalls(boost::asio::io_context& io, DatabaseCallTimeouts timeouts,
+                    DatabaseCallCallbacks answers);
 
   void probe(failover::ProbeDatabase call) override;
   void fence(failover::FenceDatabase call) override;
@@ -66,7 +67,7 @@
 
   boost::asio::io_context& io_;
   DatabaseCallTimeouts timeouts_;
-  DatabaseCallAnswers answers_;
+  DatabaseCallCallbacks answers_;
 };
 
 }  // namespace pipitpond::control
--- a/src/control/joiner.cpp
+++ b/src/control/joiner.cpp
@@ -75,7 +75,7 @@
 }
 
 std::vector<core::Endpoint> Joiner::targets() const {
-  std::vector<core::Endpoint> targets = node_.join_contacts();
+  std::vector<core::Endpoint> targets = node_.join_endpoints();
   for (const Peer& peer : configured_) {
     if (std::find(targets.begin(), targets.end(), peer.internal) == targets.end()) {
       targets.push_back(peer.internal);
@@ -106,7 +106,7 @@
     return;
   }
   next_line_ = now + kLineInterval;
-  const std::optional<raft::JoinAnswer>& answer = node_.join_answer();
+  const std::optional<raft::LastJoinReply>& answer = node_.last_join_reply();
   const bool answered = answer && answer->at >= *asking_since_;
   logging::logger("control")->info(
       "event=asks_to_join identity={} for_ms={} asked={} answered_by={} refusal={} leader={}",
--- a/src/control/leader_duties.cpp
+++ b/src/control/leader_duties.cpp
@@ -27,7 +27,7 @@
       replica_(replica),
       leases_(daemon_lease),
       coordinator_([this](core::Instant now, protocol::Revision revision) {
-        return leases_.followed_or_expired(now, revision);
+        return leases_.applied_or_lease_expired(now, revision);
       }),
       calls_(make_calls(make_answers())),
       daemon_changes_(io, [this](configuration::ChangeDaemons changes) {
@@ -44,9 +44,9 @@
   timer_.cancel();
 }
 
-DatabaseCallAnswers LeaderDuties::make_answers() {
+DatabaseCallCallbacks LeaderDuties::make_answers() {
   using core::BootClock;
-  DatabaseCallAnswers answers;
+  DatabaseCallCallbacks answers;
   answers.status = [this](const database::StatusAnswer& status) {
     coordinator_.on_probe_answer(BootClock::now(), status);
     carry_out_effects();
@@ -131,7 +131,7 @@
   if (!leases_.needs_admission(heartbeat)) {
     return;
   }
-  const protocol::Daemon wanted = failover::DaemonLeases::described_by(heartbeat);
+  const protocol::Daemon wanted = failover::DaemonLeases::daemon_from_heartbeat(heartbeat);
   const auto& daemons = replica_.machine().configuration().daemons;
   const auto known = daemons.find(wanted.id);
   const bool admitted = known != daemons.end() && known->second.incarnation == wanted.incarnation &&
@@ -162,7 +162,7 @@
 boost::asio::awaitable<core::Result<void>> LeaderDuties::on_departure(protocol::Departure departure) {
   const core::Instant now = core::BootClock::now();
   leases_.on_departure(now, departure);
-  coordinator_.on_daemon_gone(now, departure.daemon);
+  coordinator_.on_daemon_removed(now, departure.daemon);
   const configuration::RemoveDaemon removal{departure.daemon, departure.incarnation};
   auto removed = co_await daemon_changes_.remove(removal, kProposalTimeout);
   co_return removed;
@@ -222,7 +222,7 @@
   for (const failover::RemovableDaemon& lost : leases_.removable(now)) {
     const bool asked = daemon_changes_.add(configuration::RemoveDaemon{lost.daemon, lost.incarnation});
     if (asked) {
-      coordinator_.on_daemon_gone(now, lost.daemon);
+      coordinator_.on_daemon_removed(now, lost.daemon);
     }
   }
 }
@@ -267,16 +267,16 @@
   if (const auto* promote = std::get_if<failover::PromoteDatabase>(&effect)) {
     log->info("group={} term={} event=promote database={}", promote->group.value(), promote->term,
               promote->database.value());
-  } else if (const auto* begin = std::get_if<failover::ProposeBegin>(&effect)) {
+  } else if (const auto* begin = std::get_if<failover::ProposeBeginPrimaryChange>(&effect)) {
     log->info("group={} term={} event=begin_change replaces_term={}", begin->group.value(), begin->new_term,
               begin->expected_term);
-  } else if (const auto* complete = std::get_if<failover::ProposeComplete>(&effect)) {
+  } else if (const auto* complete = std::get_if<failover::ProposeCompletePrimaryChange>(&effect)) {
     log->info("group={} term={} event=complete_change primary={} start={}.{}", complete->group.value(),
               complete->term, complete->primary.value(), complete->start.term, complete->start.index);
-  } else if (const auto* adopt = std::get_if<failover::ProposeAdopt>(&effect)) {
+  } else if (const auto* adopt = std::get_if<failover::ProposeAdoptPrimary>(&effect)) {
     log->info("group={} term={} event=adopt_primary primary={}", adopt->group.value(), adopt->term,
               adopt->primary.value());
-  } else if (const auto* remove = std::get_if<failover::ProposeRemove>(&effect)) {
+  } else if (const auto* remove = std::get_if<failover::ProposeRemoveDatabase>(&effect)) {
     log->info("event=remove_database database={}", remove->database.value());
   }
 }
@@ -289,17 +289,17 @@
     calls_->fence(*fence);
   } else if (const auto* promote = std::get_if<failover::PromoteDatabase>(&effect)) {
     calls_->promote(*promote);
-  } else if (const auto* begin = std::get_if<failover::ProposeBegin>(&effect)) {
+  } else if (const auto* begin = std::get_if<failover::ProposeBeginPrimaryChange>(&effect)) {
     propose("begin " + begin->group.value(),
             configuration::BeginPrimaryChange{begin->group, begin->expected_term, begin->new_term});
-  } else if (const auto* complete = std::get_if<failover::ProposeComplete>(&effect)) {
+  } else if (const auto* complete = std::get_if<failover::ProposeCompletePrimaryChange>(&effect)) {
     propose("complete " + complete->group.value(),
             configuration::CompletePrimaryChange{complete->group, complete->term, complete->primary,
                                                  complete->start});
-  } else if (const auto* adopt = std::get_if<failover::ProposeAdopt>(&effect)) {
+  } else if (const auto* adopt = std::get_if<failover::ProposeAdoptPrimary>(&effect)) {
     propose("adopt " + adopt->group.value(),
             configuration::AdoptPrimary{adopt->group, adopt->term, adopt->primary});
-  } else if (const auto* remove = std::get_if<failover::ProposeRemove>(&effect)) {
+  } else if (const auto* remove = std::get_if<failover::ProposeRemoveDatabase>(&effect)) {
     propose("database " + remove->database.value(), configuration::RemoveDatabase{remove->database});
   }
 }
--- a/src/control/leader_duties.hpp
+++ b/src/control/leader_duties.hpp
@@ -63,7 +63,7 @@
   boost::asio::awaitable<core::Result<configuration::CommandResult>> propose_daemon_changes(
       configuration::ChangeDaemons changes);
   boost::asio::awaitable<void> run_proposal(std::string subject, configuration::Command command);
-  DatabaseCallAnswers make_answers();
+  DatabaseCallCallbacks make_answers();
   void tick();
   void schedule_tick();
   void admit(const protocol::Heartbeat& heartbeat);
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -331,7 +331,8 @@
 }
 
 void Replica::note_leadership_gain() {
-  const bool gained = !leading_ && node_.role() == raft::Role::kLeader && node_.leads_with_committed_term();
+  const bool gained =
+      !leading_ && node_.role() == raft::Role::kLeader && node_.has_committed_in_current_term();
   if (!gained) {
     return;
   }
--- a/src/control_world/faults.cpp
+++ b/src/control_world/faults.cpp
@@ -129,7 +129,7 @@
   auto* leading = leader();
   if (leading == nullptr) return false;
   const auto& node = leading->process()->node();
-  if (node.membership_change_pending() || !node.leads_with_committed_term()) return false;
+  if (node.membership_change_pending() || !node.has_committed_in_current_term()) return false;
   return std::all_of(
       node.membership().members.begin(), node.membership().members.end(), [this](const auto& member) {
         const bool there = std::any_of(targets_.machines.begin(), targets_.machines.end(),
--- a/src/control_world/process.cpp
+++ b/src/control_world/process.cpp
@@ -192,7 +192,7 @@
 std::set<core::Endpoint> ControlProcess::whom_to_ask() const {
   std::set<core::Endpoint> asked;
   for (const auto& seed : fleet_.directory.seeds()) asked.insert(seed);
-  for (const auto& contact : node_.join_contacts()) asked.insert(contact);
+  for (const auto& contact : node_.join_endpoints()) asked.insert(contact);
   for (const auto& [caller, endpoint] : heard_at_) asked.insert(endpoint);
   return asked;
 }
--- a/src/control_world/process_requests.cpp
+++ b/src/control_world/process_requests.cpp
@@ -142,7 +142,7 @@
 }
 
 void ControlProcess::note_leadership_gain() {
-  if (leading_ || !node_.leads_with_committed_term()) return;
+  if (leading_ || !node_.has_committed_in_current_term()) return;
   leading_ = true;
   const auto now = place_.host.now();
   leases_.on_configuration(now, machine_.configuration());
--- a/src/failover/coordinator.cpp
+++ b/src/failover/coordinator.cpp
@@ -79,7 +79,7 @@
   }
 }
 
-void Coordinator::on_daemon_gone(core::Instant, const core::DaemonId& daemon) {
+void Coordinator::on_daemon_removed(core::Instant, const core::DaemonId& daemon) {
   heard_.erase(daemon);
   const auto suspected = suspected_by_.extract(daemon);
   if (suspected.empty()) {
--- a/src/failover/coordinator.hpp
+++ b/src/failover/coordinator.hpp
@@ -47,7 +47,7 @@
   void on_suspicions(core::Instant now, const core::DaemonId& daemon,
                      const std::vector<protocol::SuspicionReport>& suspicions);
   /// A daemon departed or was removed.
-  void on_daemon_gone(core::Instant now, const core::DaemonId& daemon);
+  void on_daemon_removed(core::Instant now, const core::DaemonId& daemon);
 
   void on_probe_answer(core::Instant now, const database::StatusAnswer& status);
   void on_probe_failed(core::Instant now, const core::DatabaseId& database);
--- a/src/failover/daemon_leases.cpp
+++ b/src/failover/daemon_leases.cpp
@@ -107,7 +107,7 @@
 
 bool DaemonLeases::needs_admission(const protocol::Heartbeat& heartbeat) const {
   const auto found = admitted_.find(heartbeat.daemon);
-  const protocol::Daemon described = described_by(heartbeat);
+  const protocol::Daemon described = daemon_from_heartbeat(heartbeat);
   if (found == admitted_.end()) {
     return true;
   }
@@ -120,7 +120,7 @@
          (described.state == protocol::DaemonState::kLeaving && known.state == protocol::DaemonState::kLive);
 }
 
-protocol::Daemon DaemonLeases::described_by(const protocol::Heartbeat& heartbeat) {
+protocol::Daemon DaemonLeases::daemon_from_heartbeat(const protocol::Heartbeat& heartbeat) {
   protocol::Daemon daemon;
   daemon.id = heartbeat.daemon;
   daemon.incarnation = heartbeat.incarnation;
@@ -152,7 +152,7 @@
   return daemons;
 }
 
-bool DaemonLeases::followed_or_expired(core::Instant now, protocol::Revision revision) const {
+bool DaemonLeases::applied_or_lease_expired(core::Instant now, protocol::Revision revision) const {
   const core::Duration surely_ended = lease_ + protocol::kLeaseClockMargin;
   return std::all_of(entries_.begin(), entries_.end(), [&](const auto& one) {
     const Entry& entry = one.second;
--- a/src/failover/daemon_leases.hpp
+++ b/src/failover/daemon_leases.hpp
@@ -40,10 +40,10 @@
   protocol::HeartbeatReply on_heartbeat(core::Instant now, const protocol::Heartbeat& heartbeat,
                                         bool has_quorum);
   /// True when the heartbeat tells something that the configuration does not say yet: a daemon that is new,
-  /// restarted, moved or leaving. The driver then proposes the daemon as `described_by` gives it.
+  /// restarted, moved or leaving. The driver then proposes the daemon as `daemon_from_heartbeat` gives it.
   [[nodiscard]] bool needs_admission(const protocol::Heartbeat& heartbeat) const;
   /// The daemon as the heartbeat describes it.
-  static protocol::Daemon described_by(const protocol::Heartbeat& heartbeat);
+  static protocol::Daemon daemon_from_heartbeat(const protocol::Heartbeat& heartbeat);
 
   /// The daemon has drained: it holds no connection and can be removed at once.
   void on_departure(core::Instant now, const protocol::Departure& departure);
@@ -54,7 +54,7 @@
 
   /// True when no admitted daemon acts on a configuration older than `revision` under a lease: each has
   /// applied it, has departed, or its lease has surely ended.
-  [[nodiscard]] bool followed_or_expired(core::Instant now, protocol::Revision revision) const;
+  [[nodiscard]] bool applied_or_lease_expired(core::Instant now, protocol::Revision revision) const;
   /// Smallest settled revision of all admitted daemons; 0 while one of them has not been heard.
   [[nodiscard]] protocol::Revision settled_everywhere() const;
 
--- a/src/failover/departure_watch.cpp
+++ b/src/failover/departure_watch.cpp
@@ -1,4 +1,4 @@
-#include "failover/departure_watch.hpp"
+#include "failover/departed_database_removal.hpp"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
                  seen != nullptr && seen->received >= held;
         });
     if (caught_up) {
-      effects.emplace_back(ProposeRemove{departed.id});
+      effects.emplace_back(ProposeRemoveDatabase{departed.id});
     }
   }
 }
--- a/src/failover/departure_watch.hpp
+++ b/src/failover/departure_watch.hpp
@@ -10,7 +10,7 @@
 
 #include "core/clock.hpp"
 #include "failover/effects.hpp"
-#include "failover/member_watch.hpp"
+#include "failover/member_probes.hpp"
 #include "protocol/configuration.hpp"
 
 namespace pipitpond::failover {
--- a/src/failover/effects.hpp
+++ b/src/failover/effects.hpp
@@ -45,7 +45,7 @@
 
 /// Replicated change: append TermStart{new_term, none} to the group's terms, provided that its last term is
 /// still `expected_term` (0: it has none); otherwise nothing.
-struct ProposeBegin {
+struct ProposeBeginPrimaryChange {
   core::GroupName group;
   core::Term expected_term = 0;
   core::Term new_term = 0;
@@ -53,7 +53,7 @@
 
 /// Replicated change: set primary and start of the group's last term, provided that it is still `term` and
 /// has no primary; otherwise nothing.
-struct ProposeComplete {
+struct ProposeCompletePrimaryChange {
   core::GroupName group;
   core::Term term = 0;
   core::DatabaseId primary;
@@ -61,18 +61,18 @@
 };
 
 /// Replicated change: take over the primary that a self-registered group already has.
-struct ProposeAdopt {
+struct ProposeAdoptPrimary {
   core::GroupName group;
   core::Term term = 0;
   core::DatabaseId primary;
 };
 
 /// Replicated change: forget a departed database.
-struct ProposeRemove {
+struct ProposeRemoveDatabase {
   core::DatabaseId database;
 };
 
-using Effect = std::variant<ProbeDatabase, FenceDatabase, PromoteDatabase, ProposeBegin, ProposeComplete,
-                            ProposeAdopt, ProposeRemove>;
+using Effect = std::variant<ProbeDatabase, FenceDatabase, PromoteDatabase, ProposeBeginPrimaryChange,
+                            ProposeCompletePrimaryChange, ProposeAdoptPrimary, ProposeRemoveDatabase>;
 
 }  // namespace pipitpond::failover
--- a/src/failover/group_coordinator.cpp
+++ b/src/failover/group_coordinator.cpp
@@ -139,7 +139,7 @@
     const bool leads =
         status != nullptr && status->role == database::Role::kPrimary && watch_.reachable(now, database.id);
     if (leads) {
-      effects_.emplace_back(ProposeAdopt{group_.name, status->term, database.id});
+      effects_.emplace_back(ProposeAdoptPrimary{group_.name, status->term, database.id});
       return;
     }
   }
@@ -271,7 +271,7 @@
 
 void GroupCoordinator::propose_begin(core::Instant now) {
   proposed_at_ = now;
-  effects_.emplace_back(ProposeBegin{group_.name, last_term(), own_term_});
+  effects_.emplace_back(ProposeBeginPrimaryChange{group_.name, last_term(), own_term_});
 }
 
 // --- Let a leaving primary finish
@@ -458,7 +458,7 @@
     return;
   }
   proposed_at_ = now;
-  effects_.emplace_back(ProposeComplete{group_.name, own_term_, candidate_, start_});
+  effects_.emplace_back(ProposeCompletePrimaryChange{group_.name, own_term_, candidate_, start_});
 }
 
 // --- The group
--- a/src/failover/group_coordinator.hpp
+++ b/src/failover/group_coordinator.hpp
@@ -12,9 +12,9 @@
 #include <set>
 #include <vector>
 
-#include "failover/departure_watch.hpp"
+#include "failover/departed_database_removal.hpp"
 #include "failover/effects.hpp"
-#include "failover/member_watch.hpp"
+#include "failover/member_probes.hpp"
 #include "failover/suspicion_tally.hpp"
 #include "protocol/configuration.hpp"
 
--- a/src/failover/member_watch.cpp
+++ b/src/failover/member_watch.cpp
@@ -1,4 +1,4 @@
-#include "failover/member_watch.hpp"
+#include "failover/member_probes.hpp"
 
 #include <algorithm>
 
--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -55,7 +55,7 @@
     return false;
   }
   const std::vector<core::DaemonId>& owners = agent_.owner_table().owners(pool.address().database);
-  return forwarder_.prefers_another(owners, pool, *request.tenant, now);
+  return forwarder_.prefers_other_owner(owners, pool, *request.tenant, now);
 }
 
 std::optional<BackendChoice> Backends::choose_for_read(const GroupView& view, const BackendRequirement& need,
--- a/src/pooling/backends_positions.cpp
+++ b/src/pooling/backends_positions.cpp
@@ -4,14 +4,14 @@
 #include <utility>
 
 #include "pooling/backends.hpp"
-#include "pooling/told_age.hpp"
+#include "pooling/reported_age.hpp"
 
 namespace pipitpond::pooling {
 
 namespace {
 
 AgedPosition to_aged(const ReportedPosition& shown, core::Instant now) {
-  return AgedPosition{told_age_ms(now - shown.sent), shown.position};
+  return AgedPosition{reported_age_ms(now - shown.sent), shown.position};
 }
 
 }  // namespace
@@ -145,7 +145,7 @@
     co_return;
   }
   const auto primary = found->second.members.find(found->second.primary);
-  const core::Duration most_age = staleness - kLongestForwardWait - kPositionTimeout;
+  const core::Duration most_age = staleness - kMaxForwardWait - kPositionTimeout;
   const bool useful = primary != found->second.members.end() && most_age > core::Duration::zero() &&
                       should_forward(*primary->second.pool, asked);
   if (!useful) {
@@ -183,7 +183,7 @@
     return reply;
   }
   const core::Duration most_age = std::chrono::milliseconds(request.max_age_ms);
-  const ReportedPosition* oldest = view->positions.oldest_covering(now - countable_age(most_age));
+  const ReportedPosition* oldest = view->positions.oldest_covering(now - max_reportable_age(most_age));
   if (oldest == nullptr) {
     return reply;
   }
--- a/src/pooling/caller_access.cpp
+++ b/src/pooling/caller_access.cpp
@@ -16,7 +16,7 @@
       homes_(std::move(zone)),
       home_(self, options.quotas),
       asker_(io, std::move(self)),
-      take_own_([this](const QuotaAsked& asked) {
+      take_own_([this](const QuotaScope& asked) {
         return home_.take(core::BootClock::now(), asked.tenant, agent_.complete_until(),
                           tenancy::QuotaDemand{1, asked.priority});
       }) {}
@@ -46,7 +46,7 @@
   return tenancy::judge(directory_, route, key, keys_are_certain(now));
 }
 
-awaitable<QuotaAnswer> CallerAccess::take_operation(QuotaAsked asked) {
+awaitable<QuotaAnswer> CallerAccess::take_operation(QuotaScope asked) {
   const protocol::Tenant* known = directory_.find(asked.tenant);
   if (known == nullptr || !known->quota) {
     QuotaAnswer unlimited;
@@ -66,7 +66,7 @@
 }
 
 QuotaReply CallerAccess::answer(core::Instant now, const QuotaRequest& request) {
-  const std::size_t given_back = std::min(request.given_back.size(), kMostGivenBack);
+  const std::size_t given_back = std::min(request.given_back.size(), kMaxGivenBackPerRequest);
   for (std::size_t index = 0; index < given_back; ++index) {
     const GivenBackOperation& operation = request.given_back[index];
     home_.give_back(now, operation.tenant, operation.number);
@@ -86,7 +86,7 @@
 void CallerAccess::count(const QuotaAnswer& answer) {
   if (answer.outcome == QuotaOutcome::kOverQuota) {
     ++counters_.over_quota;
-  } else if (answer.outcome == QuotaOutcome::kNotTold) {
+  } else if (answer.outcome == QuotaOutcome::kNoHomeAvailable) {
     ++counters_.quota_not_told;
   }
 }
--- a/src/pooling/caller_access.hpp
+++ b/src/pooling/caller_access.hpp
@@ -9,7 +9,7 @@
 #include "agent/agent.hpp"
 #include "core/clock.hpp"
 #include "core/ids.hpp"
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 #include "tenancy/access.hpp"
 #include "tenancy/quota_home.hpp"
 #include "tenancy/quota_homes.hpp"
@@ -48,7 +48,7 @@
   /// True while nothing but a key that nobody holds keeps callers away.
   [[nodiscard]] bool keys_are_certain(core::Instant now) const;
   /// Takes the right to run one operation of a tenant: kGranted at once for those without a quota.
-  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaAsked asked);
+  boost::asio::awaitable<QuotaAnswer> take_operation(QuotaScope asked);
 
   /// An operation that was taken surely did not run.
   void give_back(const QuotaReceipt& receipt);
@@ -71,8 +71,8 @@
   tenancy::TenantDirectory directory_;
   tenancy::QuotaHomes homes_;
   tenancy::QuotaHome home_;
-  QuotaAsker asker_;
-  TakeOwn take_own_;
+  QuotaClient asker_;
+  TakeFromLocalHome take_own_;
   std::uint64_t table_version_ = 0;
   bool admitted_ = false;  ///< This life of the daemon, as last seen.
   AccessCounters counters_;
--- a/src/pooling/caller_session.cpp
+++ b/src/pooling/caller_session.cpp
@@ -14,7 +14,7 @@
       choice(std::move(its_choice)),
       failed(false),
       wrote(false),
-      rested_since(core::BootClock::now()) {}
+      last_statement_ended_at(core::BootClock::now()) {}
 
 TraceStep CallerSession::step_at(const BackendChoice& choice, TraceEvent event, std::string detail) {
   return TraceStep{{}, event, choice.pool->address().database, choice.term, {}, std::move(detail)};
@@ -43,7 +43,7 @@
   running_ = false;
   count(reply);
   if (transaction_) {
-    transaction_->rested_since = core::BootClock::now();
+    transaction_->last_statement_ended_at = core::BootClock::now();
   }
   co_return reply;
 }
@@ -89,7 +89,7 @@
   if (ends) {
     co_return failed_reply(FailureCode::kBad, "no transaction is open", TransactionState::kIdle);
   }
-  co_return co_await run_first(std::move(statement));
+  co_return co_await run_outside_transaction(std::move(statement));
 }
 
 // --- Answered here
@@ -97,24 +97,24 @@
 
 StatementReply CallerSession::set_value(const Statement& statement) {
   session_.values[statement.name] = statement.arguments;
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 StatementReply CallerSession::prepare(const Statement& statement) {
   session_.prepared[statement.name] = PreparedShape{statement.writes, statement.arguments};
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 StatementReply CallerSession::forget(const Statement& statement) {
   session_.prepared.erase(statement.name);
-  return succeeded_here(state());
+  return local_success_reply(state());
 }
 
 /// The end of a failed transaction ends it, and says so; nothing of it is kept. All else is refused.
 StatementReply CallerSession::end_failed_transaction(const Statement& statement) {
   if (statement.kind == StatementKind::kRollback) {
     leave_transaction();
-    return succeeded_here(TransactionState::kIdle);
+    return local_success_reply(TransactionState::kIdle);
   }
   if (statement.kind == StatementKind::kCommit) {
     leave_transaction();
--- a/src/pooling/caller_session.hpp
+++ b/src/pooling/caller_session.hpp
@@ -48,7 +48,7 @@
 
   /// Ends a transaction whose caller has rested for the limit of the routes. The caller learns of it with the
   /// next statement.
-  void end_transaction_when_idle(core::Instant now);
+  void end_transaction_if_idle(core::Instant now);
   /// Ends an open transaction between two statements, because the daemon stops.
   void end_transaction_for_stop();
 
@@ -68,7 +68,7 @@
     BackendChoice choice;
     bool failed;
     bool wrote;
-    core::Instant rested_since;
+    core::Instant last_statement_ended_at;
   };
 
   /// Where a transaction runs.
@@ -95,7 +95,7 @@
     Failure last_failure;
     core::Duration pause{};  ///< Before the next attempt.
     /// A read's position must still cover its staleness after this time: how long it may wait elsewhere.
-    core::Duration longest_wait{};
+    core::Duration max_connection_wait{};
     RequestTrace trace{core::Instant{}};
   };
 
@@ -106,7 +106,7 @@
   StatementReply forget(const Statement& statement);
   StatementReply end_failed_transaction(const Statement& statement);
 
-  boost::asio::awaitable<StatementReply> run_first(Statement statement);
+  boost::asio::awaitable<StatementReply> run_outside_transaction(Statement statement);
   /// Judges the caller's key, and takes an operation of its tenant's quota. A refusal: nothing else is to be
   /// done.
   boost::asio::awaitable<std::optional<StatementReply>> refuse_or_admit(Search& search);
@@ -128,8 +128,8 @@
   /// Why a read must wait before it is sent anywhere; null: it need not.
   [[nodiscard]] const char* reason_to_wait(const Search& search, const BackendRequirement& need,
                                            core::Instant now);
-  [[nodiscard]] bool surely_fresh(const Search& search, const BackendChoice& choice,
-                                  const BackendRequirement& need, core::Instant now) const;
+  [[nodiscard]] bool is_proven_fresh(const Search& search, const BackendChoice& choice,
+                                     const BackendRequirement& need, core::Instant now) const;
   [[nodiscard]] ConnectionRequest connection_request(const Search& search) const;
   boost::asio::awaitable<std::optional<StatementReply>> attempt(Search& search);
   boost::asio::awaitable<std::optional<StatementReply>> attempt_at(Search& search, BackendChoice choice,
--- a/src/pooling/caller_session_access.cpp
+++ b/src/pooling/caller_session_access.cpp
@@ -55,7 +55,7 @@
 }
 
 void CallerSession::give_back_if_not_run(const Search& search, const StatementReply& reply) const {
-  const bool not_run = reply.failure && surely_not_run(reply.failure->code) && !search.may_have_run;
+  const bool not_run = reply.failure && guarantees_not_run(reply.failure->code) && !search.may_have_run;
   if (search.quota && not_run) {
     services_.access.give_back(*search.quota);
   }
@@ -65,7 +65,7 @@
   if (auto refusal = refuse_key(search)) {
     co_return refusal;
   }
-  QuotaAsked asked{search.access.tenant, search.route.priority};
+  QuotaScope asked{search.access.tenant, search.route.priority};
   const QuotaAnswer answer = co_await services_.access.take_operation(std::move(asked));
   if (answer.outcome == QuotaOutcome::kGranted) {
     search.quota = answer.receipt;
--- a/src/pooling/caller_session_search.cpp
+++ b/src/pooling/caller_session_search.cpp
@@ -60,7 +60,7 @@
   return search;
 }
 
-awaitable<StatementReply> CallerSession::run_first(Statement statement) {
+awaitable<StatementReply> CallerSession::run_outside_transaction(Statement statement) {
   auto search = begin_search(std::move(statement));
   if (!search) {
     co_return failed_reply(FailureCode::kUnknownDatabase, database_, TransactionState::kIdle);
@@ -112,7 +112,7 @@
 StatementReply CallerSession::give_up(const Search& search) const {
   ++services_.counters.given_up;
   Failure failure = search.last_failure;
-  if (surely_not_run(failure.code)) {
+  if (guarantees_not_run(failure.code)) {
     failure = Failure{FailureCode::kBusy, come_back_text(failure.text)};
   }
   return failed_reply(failure.code, failure.text, TransactionState::kIdle);
@@ -176,7 +176,7 @@
 }
 
 awaitable<std::optional<StatementReply>> CallerSession::attempt(Search& search) {
-  if (lacks_position(search, need_of(search, core::BootClock::now() + search.longest_wait))) {
+  if (lacks_position(search, need_of(search, core::BootClock::now() + search.max_connection_wait))) {
     co_await services_.backends.request_position(search.route.group,
                                                  std::chrono::milliseconds(search.route.max_staleness_ms));
   }
@@ -184,7 +184,7 @@
   if (auto refusal = refuse_key(search)) {
     co_return refusal;  // It may have waited for long since it was admitted.
   }
-  const BackendRequirement need = need_of(search, now + search.longest_wait);
+  const BackendRequirement need = need_of(search, now + search.max_connection_wait);
   if (const char* reason = reason_to_wait(search, need, now)) {
     search.trace.add(now, TraceStep{{}, TraceEvent::kWaits, {}, 0, {}, reason});
     search.last_failure = Failure{FailureCode::kBusy, reason};
@@ -219,10 +219,10 @@
   if (auto refusal = refuse_key(search)) {
     co_return refusal;
   }
-  const BackendRequirement need = need_of(search, sent + lease->longest_wait());
+  const BackendRequirement need = need_of(search, sent + lease->max_connection_wait());
   if (!choice.is_primary && lacks_position(search, need)) {
     // A replica's answer would prove nothing. The next attempt leaves room for such a wait.
-    search.longest_wait = lease->longest_wait();
+    search.max_connection_wait = lease->max_connection_wait();
     co_return std::nullopt;
   }
   BackendStatement statement{search.statement, {}};
@@ -239,7 +239,7 @@
     co_return on_lost(search, choice, ran.error());
   }
   StatementReply reply = std::move(ran.value());
-  search.may_have_run |= !reply.failure || !surely_not_run(reply.failure->code);
+  search.may_have_run |= !reply.failure || !guarantees_not_run(reply.failure->code);
   if (reply.position) {
     services_.backends.note_position(search.route.group, choice, sent, now, *reply.position);
   }
@@ -252,7 +252,7 @@
     }
     co_return on_failure(search, choice, std::move(reply));
   }
-  if (!may_write(search.statement) && !surely_fresh(search, choice, need, now)) {
+  if (!may_write(search.statement) && !is_proven_fresh(search, choice, need, now)) {
     search.last_failure = Failure{FailureCode::kBusy, "the primary is not certain"};
     search.trace.add(now, step_at(choice, TraceEvent::kNotCertain, "no lease, or a newer term"));
     search.pause = kNoBackendPause;
@@ -267,8 +267,8 @@
 /// A position that the database had to reach makes a read fresh, but for routes whose reads must see every
 /// write: there only the primary will do. That it is one is known by control's lease, or was shown by the
 /// databases after the read was asked for.
-bool CallerSession::surely_fresh(const Search& search, const BackendChoice& choice,
-                                 const BackendRequirement& need, core::Instant now) const {
+bool CallerSession::is_proven_fresh(const Search& search, const BackendChoice& choice,
+                                    const BackendRequirement& need, core::Instant now) const {
   const bool by_position = search.route.kind != protocol::RouteKind::kPrimary && need.after.has_value();
   const Backends& backends = services_.backends;
   const core::GroupName& group = search.route.group;
@@ -307,14 +307,14 @@
   const FailureCode code = reply.failure->code;
   search.trace.add(
       core::BootClock::now(),
-      step_at(choice, surely_not_run(code) ? TraceEvent::kNotRun : TraceEvent::kFailed, to_string(code)));
+      step_at(choice, guarantees_not_run(code) ? TraceEvent::kNotRun : TraceEvent::kFailed, to_string(code)));
   if (code == FailureCode::kBehind) {
     pool.reach().note_lacking(core::BootClock::now(), search.after.value_or(core::LogPosition{}));
   }
   if (code == FailureCode::kReadOnly && choice.is_primary) {
     pool.health().on_refused_write();
   }
-  if (surely_not_run(code)) {
+  if (guarantees_not_run(code)) {
     ++services_.counters.retried;
     if (choice.is_primary) {
       search.pause = code == FailureCode::kReadOnly ? kNoBackendPause : kBusyPause;
--- a/src/pooling/caller_session_transaction.cpp
+++ b/src/pooling/caller_session_transaction.cpp
@@ -69,7 +69,7 @@
                                                *reply.position);
   }
   if (reply.failure) {
-    const bool not_run = surely_not_run(reply.failure->code);
+    const bool not_run = guarantees_not_run(reply.failure->code);
     write_transaction_failure(statement, sent, TransactionPlace{transaction_->choice, transaction_->route},
                               not_run ? TraceEvent::kNotRun : TraceEvent::kFailed, reply);
   }
@@ -99,7 +99,7 @@
   if (statement.kind == StatementKind::kCommit || statement.kind == StatementKind::kRollback) {
     leave_transaction();
     if (statement.kind == StatementKind::kRollback) {
-      return succeeded_here(TransactionState::kIdle);
+      return local_success_reply(TransactionState::kIdle);
     }
     const FailureCode code = may_be_kept ? FailureCode::kUnsure : FailureCode::kAborted;
     return failed_reply(code, error.message, TransactionState::kIdle);
@@ -132,10 +132,10 @@
   transaction_.reset();
 }
 
-void CallerSession::end_transaction_when_idle(core::Instant now) {
+void CallerSession::end_transaction_if_idle(core::Instant now) {
   const core::Duration limit = services_.routes.transaction_idle_limit();
   const bool rests = transaction_ && transaction_->lease && !running_ && limit > core::Duration::zero() &&
-                     now - transaction_->rested_since >= limit;
+                     now - transaction_->last_statement_ended_at >= limit;
   if (!rests) {
     return;
   }
--- a/src/pooling/connection_lease.hpp
+++ b/src/pooling/connection_lease.hpp
@@ -42,7 +42,7 @@
 
   [[nodiscard]] const std::shared_ptr<BackendPool>& pool() const { return pool_; }
   void discard() override;
-  [[nodiscard]] core::Duration longest_wait() const override { return core::Duration::zero(); }
+  [[nodiscard]] core::Duration max_connection_wait() const override { return core::Duration::zero(); }
 
  private:
   boost::asio::awaitable<core::Result<StatementReply>> run_batch(std::vector<BackendStatement> batch,
--- a/src/pooling/daemon.cpp
+++ b/src/pooling/daemon.cpp
@@ -132,7 +132,7 @@
     backends_.tick(now);
     const std::set<CallerSession*> sessions = services_.sessions;
     for (CallerSession* session : sessions) {
-      session->end_transaction_when_idle(now);
+      session->end_transaction_if_idle(now);
     }
     forwards_.end_idle_transactions(now, routes_.transaction_idle_limit());
     log_readiness();
--- a/src/pooling/forward_service.cpp
+++ b/src/pooling/forward_service.cpp
@@ -121,7 +121,7 @@
 
 awaitable<core::Result<std::string>> ForwardService::run(wire::PeerId peer, ForwardedStatement asked) {
   if (asked.transaction == 0) {
-    co_return co_await run_first(peer, std::move(asked));
+    co_return co_await run_outside_transaction(peer, std::move(asked));
   }
   const auto found = transactions_.find(asked.transaction);
   const bool known = found != transactions_.end() && found->second->peer == peer && !found->second->running;
@@ -132,7 +132,8 @@
   co_return co_await run_in_transaction(std::move(held), std::move(asked));
 }
 
-awaitable<core::Result<std::string>> ForwardService::run_first(wire::PeerId peer, ForwardedStatement asked) {
+awaitable<core::Result<std::string>> ForwardService::run_outside_transaction(wire::PeerId peer,
+                                                                             ForwardedStatement asked) {
   if (refuses_) {
     co_return takes_no_new_work();
   }
@@ -162,11 +163,11 @@
   const core::Instant sent = core::BootClock::now();
   auto ran = co_await held->lease->run(asked.session, std::move(statement), duration_of(asked.timeout_ms));
   held->running = false;
-  held->rested_since = core::BootClock::now();
+  held->last_statement_ended_at = core::BootClock::now();
   if (ran && ran.value().position && held->choice) {
     // For daemons that ask this one for positions: see Backends::request_position.
     const core::GroupName& group = held->choice->pool->address().group;
-    backends_.note_position(group, *held->choice, sent, held->rested_since, *ran.value().position);
+    backends_.note_position(group, *held->choice, sent, held->last_statement_ended_at, *ran.value().position);
   }
   const bool open = ran && ran.value().state != TransactionState::kIdle;
   // When whoever asked is gone, nobody would end the transaction.
@@ -231,7 +232,7 @@
     return;
   }
   std::erase_if(transactions_, [&](const auto& entry) {
-    return !entry.second->running && now - entry.second->rested_since >= limit + kIdleMargin;
+    return !entry.second->running && now - entry.second->last_statement_ended_at >= limit + kIdleMargin;
   });
 }
 
--- a/src/pooling/forward_service.hpp
+++ b/src/pooling/forward_service.hpp
@@ -50,12 +50,13 @@
     std::optional<BackendChoice> choice;  ///< What the database was when the lease was given.
     bool running = false;
     bool given_up = false;  ///< Nobody will go on with it.
-    core::Instant rested_since{};
+    core::Instant last_statement_ended_at{};
   };
   using HeldPointer = std::shared_ptr<Held>;
 
   boost::asio::awaitable<core::Result<std::string>> run(wire::PeerId peer, ForwardedStatement asked);
-  boost::asio::awaitable<core::Result<std::string>> run_first(wire::PeerId peer, ForwardedStatement asked);
+  boost::asio::awaitable<core::Result<std::string>> run_outside_transaction(wire::PeerId peer,
+                                                                            ForwardedStatement asked);
   boost::asio::awaitable<core::Result<std::string>> run_in_transaction(HeldPointer held,
                                                                        ForwardedStatement asked);
   boost::asio::awaitable<core::Result<std::string>> ask_status(ForwardedStatusRequest asked);
--- a/src/pooling/metrics_page.cpp
+++ b/src/pooling/metrics_page.cpp
@@ -88,7 +88,7 @@
                "Times that an owner was asked for a primary's position, for reads at replicas.")
       .increment(number(counters.positions_asked));
   registry.counter("pipitpond_pooling_positions_told_total", "Those of them that brought one.")
-      .increment(number(counters.positions_told));
+      .increment(number(counters.positions_received));
 }
 
 void add_rounds(metrics::Registry& registry, const RoundCounters& counters) {
--- a/src/pooling/quota_asker.cpp
+++ b/src/pooling/quota_asker.cpp
@@ -1,4 +1,4 @@
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -18,7 +18,7 @@
 namespace {
 
 // Not part of the coroutine: GCC 12 destroys a temporary of such an initializer twice there.
-std::string request_body(const QuotaAsked& asked, std::vector<GivenBackOperation> given_back,
+std::string request_body(const QuotaScope& asked, std::vector<GivenBackOperation> given_back,
                          std::uint32_t operations) {
   return wire::pack(QuotaRequest{asked.tenant, std::move(given_back), operations, asked.priority});
 }
@@ -36,9 +36,10 @@
 
 }  // namespace
 
-QuotaAsker::QuotaAsker(boost::asio::io_context& io, core::DaemonId self) : io_(io), self_(std::move(self)) {}
+QuotaClient::QuotaClient(boost::asio::io_context& io, core::DaemonId self)
+    : io_(io), self_(std::move(self)) {}
 
-void QuotaAsker::apply(const protocol::Configuration& configuration) {
+void QuotaClient::apply(const protocol::Configuration& configuration) {
   std::erase_if(links_, [&configuration](const auto& entry) {
     const auto found = configuration.daemons.find(entry.first);
     return found == configuration.daemons.end() || found->second.internal != entry.second->endpoint ||
@@ -55,12 +56,12 @@
   }
 }
 
-awaitable<QuotaAnswer> QuotaAsker::take(std::vector<core::DaemonId> homes, QuotaAsked asked,
-                                        const TakeOwn& take_own) {
+awaitable<QuotaAnswer> QuotaClient::take(std::vector<core::DaemonId> homes, QuotaScope asked,
+                                         const TakeFromLocalHome& take_own) {
   QuotaAnswer answer;
   answer.retry_in = kQuotaComeBack;
   const auto note_empty = [&answer](core::Duration retry_in) {
-    const bool first = answer.outcome == QuotaOutcome::kNotTold;
+    const bool first = answer.outcome == QuotaOutcome::kNoHomeAvailable;
     answer.retry_in = first ? retry_in : std::min(answer.retry_in, retry_in);
     answer.outcome = QuotaOutcome::kOverQuota;
   };
@@ -82,7 +83,8 @@
   co_return answer;
 }
 
-QuotaAsker::CallersShare QuotaAsker::take_own_share(const QuotaAsked& asked, const TakeOwn& take_own) {
+QuotaClient::CallersShare QuotaClient::take_own_share(const QuotaScope& asked,
+                                                      const TakeFromLocalHome& take_own) {
   const core::Instant now = core::BootClock::now();
   const auto empty = own_empty_until_.find(asked);
   if (empty != own_empty_until_.end() && now < empty->second) {
@@ -99,7 +101,7 @@
   return CallersShare{{}, grant.retry_in};
 }
 
-awaitable<QuotaAsker::CallersShare> QuotaAsker::ask_one(LinkPointer link, QuotaAsked asked) {
+awaitable<QuotaClient::CallersShare> QuotaClient::ask_one(LinkPointer link, QuotaScope asked) {
   TenantAtHome& known = link->tenants[asked];
   const core::Instant now = core::BootClock::now();
   if (now < link->avoided_until || now < known.no_home_until) {
@@ -131,7 +133,7 @@
   co_return share_of(*question, 0);
 }
 
-QuotaAsker::CallersShare QuotaAsker::share_of(const Question& question, std::uint32_t index) {
+QuotaClient::CallersShare QuotaClient::share_of(const Question& question, std::uint32_t index) {
   if (!question.reply || !*question.reply || !question.reply->value().is_home) {
     return CallersShare{};
   }
@@ -144,7 +146,7 @@
   return CallersShare{{}, std::chrono::milliseconds(reply.retry_in_ms)};
 }
 
-awaitable<void> QuotaAsker::ask_for_all(LinkPointer link, QuotaAsked asked, QuestionPointer question) {
+awaitable<void> QuotaClient::ask_for_all(LinkPointer link, QuotaScope asked, QuestionPointer question) {
   TenantAtHome& known = link->tenants[asked];
   question->reply = co_await ask(link, asked, question->operations);
   note(*link, asked, *question->reply);
@@ -171,7 +173,7 @@
   next->answered.cancel();
 }
 
-void QuotaAsker::note(Link& link, const QuotaAsked& asked, const core::Result<QuotaReply>& reply) {
+void QuotaClient::note(Link& link, const QuotaScope& asked, const core::Result<QuotaReply>& reply) {
   const core::Instant now = core::BootClock::now();
   TenantAtHome& known = link.tenants[asked];
   if (!reply) {
@@ -189,9 +191,9 @@
   }
 }
 
-void QuotaAsker::give_back(QuotaReceipt receipt) {
+void QuotaClient::give_back(QuotaReceipt receipt) {
   const auto found = links_.find(receipt.home);
-  if (found == links_.end() || found->second->given_back.size() >= kMostGivenBack) {
+  if (found == links_.end() || found->second->given_back.size() >= kMaxGivenBackPerRequest) {
     return;
   }
   ++counters_.given_back;
@@ -204,8 +206,8 @@
   link.given_back.push_back(std::move(receipt.operation));
 }
 
-awaitable<core::Result<QuotaReply>> QuotaAsker::ask(LinkPointer link, QuotaAsked asked,
-                                                    std::uint32_t operations) {
+awaitable<core::Result<QuotaReply>> QuotaClient::ask(LinkPointer link, QuotaScope asked,
+                                                     std::uint32_t operations) {
   if (!link->channel) {
     link->channel = wire::Channel::create(io_, link->endpoint);
   }
--- a/src/pooling/quota_asker.hpp
+++ b/src/pooling/quota_asker.hpp
@@ -27,8 +27,8 @@
 /// What came of asking.
 enum class QuotaOutcome : std::uint8_t {
   kGranted,
-  kOverQuota,  ///< At least one home has none left, and no other one gave any.
-  kNotTold,    ///< No home could be asked.
+  kOverQuota,        ///< At least one home has none left, and no other one gave any.
+  kNoHomeAvailable,  ///< No home could be asked.
 };
 
 /// Where an operation was granted, to give it back.
@@ -39,7 +39,7 @@
 
 /// A home's answer, or what came of asking all of them.
 struct QuotaAnswer {
-  QuotaOutcome outcome = QuotaOutcome::kNotTold;
+  QuotaOutcome outcome = QuotaOutcome::kNoHomeAvailable;
   core::Duration retry_in{};            ///< Not granted: when to come back.
   std::optional<QuotaReceipt> receipt;  ///< Of an operation that can be given back.
 };
@@ -52,26 +52,26 @@
 };
 
 /// Who asks for an operation. Callers of other priorities neither share questions nor what homes answer.
-struct QuotaAsked {
+struct QuotaScope {
   core::TenantName tenant;
   std::uint32_t priority = 0;  ///< Of the route.
 
-  auto operator<=>(const QuotaAsked&) const = default;
+  auto operator<=>(const QuotaScope&) const = default;
 };
 
 /// Grants an operation where this daemon itself is the home.
-using TakeOwn = std::function<tenancy::QuotaGrant(const QuotaAsked&)>;
+using TakeFromLocalHome = std::function<tenancy::QuotaGrant(const QuotaScope&)>;
 
 /// The asking side of tenancy::QuotaHome.
-class QuotaAsker {
+class QuotaClient {
  public:
-  QuotaAsker(boost::asio::io_context& io, core::DaemonId self);
+  QuotaClient(boost::asio::io_context& io, core::DaemonId self);
 
   /// Follows the daemons that the configuration names.
   void apply(const protocol::Configuration& configuration);
   /// `homes`: the tenant's, in the order in which they are to be asked.
-  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaAsked asked,
-                                           const TakeOwn& take_own);
+  boost::asio::awaitable<QuotaAnswer> take(std::vector<core::DaemonId> homes, QuotaScope asked,
+                                           const TakeFromLocalHome& take_own);
 
   /// An operation that another daemon granted surely did not run. The next question to that daemon tells it;
   /// where none goes out in time, the operation is lost.
@@ -104,8 +104,8 @@
     std::uint64_t incarnation = 0;
     std::shared_ptr<wire::Channel> channel;  ///< Null until it is asked for the first time.
     core::Instant avoided_until{};           ///< It did not answer.
-    std::map<QuotaAsked, TenantAtHome> tenants;
-    std::vector<GivenBackOperation> given_back;  ///< To be told; kMostGivenBack at most.
+    std::map<QuotaScope, TenantAtHome> tenants;
+    std::vector<GivenBackOperation> given_back;  ///< To be told; kMaxGivenBackPerRequest at most.
   };
   using LinkPointer = std::shared_ptr<Link>;
 
@@ -115,19 +115,19 @@
     std::optional<core::Duration> retry_in;
   };
 
-  CallersShare take_own_share(const QuotaAsked& asked, const TakeOwn& take_own);
-  boost::asio::awaitable<CallersShare> ask_one(LinkPointer link, QuotaAsked asked);
+  CallersShare take_own_share(const QuotaScope& asked, const TakeFromLocalHome& take_own);
+  boost::asio::awaitable<CallersShare> ask_one(LinkPointer link, QuotaScope asked);
   static CallersShare share_of(const Question& question, std::uint32_t index);
   /// Asks for all of the question's callers, then for those that have gathered meanwhile.
-  boost::asio::awaitable<void> ask_for_all(LinkPointer link, QuotaAsked asked, QuestionPointer question);
-  static void note(Link& link, const QuotaAsked& asked, const core::Result<QuotaReply>& reply);
-  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaAsked asked,
+  boost::asio::awaitable<void> ask_for_all(LinkPointer link, QuotaScope asked, QuestionPointer question);
+  static void note(Link& link, const QuotaScope& asked, const core::Result<QuotaReply>& reply);
+  boost::asio::awaitable<core::Result<QuotaReply>> ask(LinkPointer link, QuotaScope asked,
                                                        std::uint32_t operations);
 
   boost::asio::io_context& io_;
   core::DaemonId self_;
   std::map<core::DaemonId, LinkPointer> links_;
-  std::map<QuotaAsked, core::Instant> own_empty_until_;  ///< Where this daemon is the home.
+  std::map<QuotaScope, core::Instant> own_empty_until_;  ///< Where this daemon is the home.
   QuotaCounters counters_;
 };
 
--- a/src/pooling/quota_messages.hpp
+++ b/src/pooling/quota_messages.hpp
@@ -21,7 +21,7 @@
 };
 
 /// Most of them in a question. What a daemon has beyond that is lost: its tenant has as much less.
-inline constexpr std::size_t kMostGivenBack = 64;
+inline constexpr std::size_t kMaxGivenBackPerRequest = 64;
 
 /// Asks for operations. Answered with a QuotaReply.
 struct QuotaRequest {
--- a/src/pooling/session_state.cpp
+++ b/src/pooling/session_state.cpp
@@ -38,7 +38,7 @@
                    std::vector<Statement>& statements, Statement& executed) {
   auto known = connection.prepared.find(shape);
   if (known == connection.prepared.end()) {
-    const std::string name = "p" + std::to_string(++connection.names_given);
+    const std::string name = "p" + std::to_string(++connection.names_assigned);
     known = connection.prepared.emplace(shape, name).first;
     Statement prepare = own_statement(StatementKind::kPrepare, name, shape.shape);
     prepare.writes = shape.writes;
--- a/src/pooling/session_state.hpp
+++ b/src/pooling/session_state.hpp
@@ -37,7 +37,7 @@
 struct ConnectionState {
   SessionValues values;
   std::map<PreparedShape, std::string> prepared;  ///< Names on the connection, which are the proxy's own.
-  std::uint64_t names_given = 0;
+  std::uint64_t names_assigned = 0;
 };
 
 /// Most prepared statements that a connection keeps; beyond it, it is reset.
--- a/src/pooling/shown_primary.cpp
+++ b/src/pooling/shown_primary.cpp
@@ -1,18 +1,18 @@
 #include "pooling/shown_primary.hpp"
 
-#include "pooling/told_age.hpp"
+#include "pooling/reported_age.hpp"
 
 namespace pipitpond::pooling {
 
 core::Instant earliest_round_start(const ShownPrimaryRequest& request, core::Instant arrived) {
-  const core::Duration oldest = countable_age(std::chrono::milliseconds(request.max_age_ms));
+  const core::Duration oldest = max_reportable_age(std::chrono::milliseconds(request.max_age_ms));
   return oldest > core::Duration::zero() ? arrived - oldest : arrived;
 }
 
 ShownPrimaryReply make_reply(const ShownPrimary& shown, core::Term term, core::Instant arrived) {
   const bool began_after = shown.begun >= arrived;
   return ShownPrimaryReply{shown.primary, term, shown.position,
-                           began_after ? 0 : told_age_ms(arrived - shown.begun)};
+                           began_after ? 0 : reported_age_ms(arrived - shown.begun)};
 }
 
 std::optional<ShownPrimary> proof_from_reply(const ShownPrimaryReply& reply, const PresumedPrimary& presumed,
--- a/src/pooling/statement.cpp
+++ b/src/pooling/statement.cpp
@@ -49,7 +49,7 @@
   return statement.kind == StatementKind::kBegin || statement.kind == StatementKind::kBeginReadOnly;
 }
 
-StatementReply succeeded_here(TransactionState state) {
+StatementReply local_success_reply(TransactionState state) {
   StatementReply reply;
   reply.state = state;
   return reply;
@@ -62,7 +62,7 @@
   return reply;
 }
 
-bool surely_not_run(FailureCode code) {
+bool guarantees_not_run(FailureCode code) {
   switch (code) {
     case FailureCode::kBusy:
     case FailureCode::kBehind:
--- a/src/pooling/statement.hpp
+++ b/src/pooling/statement.hpp
@@ -92,7 +92,7 @@
 /// True for those that open a transaction.
 bool begins_transaction(const Statement& statement);
 /// The reply to a statement that the proxy has carried out itself.
-StatementReply succeeded_here(TransactionState state);
+StatementReply local_success_reply(TransactionState state);
 /// A reply that failed.
 StatementReply failed_reply(FailureCode code, std::string text, TransactionState state);
 
@@ -100,7 +100,7 @@
 inline constexpr std::size_t kFailureCodes = 15;
 
 /// True for failures that promise that the statement was not run.
-bool surely_not_run(FailureCode code);
+bool guarantees_not_run(FailureCode code);
 
 }  // namespace pipitpond::pooling
 
--- a/src/pooling/statement_forwarder.cpp
+++ b/src/pooling/statement_forwarder.cpp
@@ -97,27 +97,28 @@
     }
   }
 
-  [[nodiscard]] core::Duration longest_wait() const override {
-    return transaction_ != 0 ? core::Duration::zero() : kLongestForwardWait;
+  [[nodiscard]] core::Duration max_connection_wait() const override {
+    return transaction_ != 0 ? core::Duration::zero() : kMaxForwardWait;
   }
 
  private:
-  /// Only owners that did not run the statement are followed by another one, and only within longest_wait:
-  /// the position that a read must reach was chosen for no longer. After it, whoever asked chooses anew.
+  /// Only owners that did not run the statement are followed by another one, and only within
+  /// max_connection_wait: the position that a read must reach was chosen for no longer. After it, whoever
+  /// asked chooses anew.
   awaitable<core::Result<StatementReply>> offer_to_owners(ForwardedStatement message, core::Instant give_up) {
     const core::Instant stop_offering =
-        std::min(give_up, core::BootClock::now() + kFirstOwnersWait * (kOwnersTried - 1));
+        std::min(give_up, core::BootClock::now() + kFirstOwnersMaxWait * (kMaxOwnersTried - 1));
     std::vector<core::DaemonId> tried;
     core::Error last = not_run("No daemon that owns connections to the database can be reached.");
-    while (std::ssize(tried) < kOwnersTried) {
+    while (std::ssize(tried) < kMaxOwnersTried) {
       const core::Instant now = core::BootClock::now();
       link_ = forwarder_.choose(owners_, tried, *pool_, message.tenant, now);
       if (!link_ || now > stop_offering) {
         break;
       }
       tried.push_back(link_->daemon);
-      const bool last_one = std::ssize(tried) == kOwnersTried || tried.size() == owners_.size();
-      message.wait_ms = millis(last_one ? kLastOwnersWait : kFirstOwnersWait);
+      const bool last_one = std::ssize(tried) == kMaxOwnersTried || tried.size() == owners_.size();
+      message.wait_ms = millis(last_one ? kLastOwnerMaxWait : kFirstOwnersMaxWait);
       auto answer = co_await ask(message, give_up);
       if (answer || may_have_run(answer.error())) {
         co_return answer;
@@ -268,7 +269,7 @@
   }
   auto reply = wire::unpack<PositionReply>(answer.value());
   if (reply && !reply.value().positions.empty()) {
-    ++counters_.positions_told;
+    ++counters_.positions_received;
   }
   co_return reply;
 }
@@ -318,8 +319,9 @@
   return best;
 }
 
-bool StatementForwarder::prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
-                                         const core::TenantName& tenant, core::Instant now) const {
+bool StatementForwarder::prefers_other_owner(const std::vector<core::DaemonId>& owners,
+                                             const BackendPool& pool, const core::TenantName& tenant,
+                                             core::Instant now) const {
   const LinkPointer best = choose(owners, {}, pool, tenant, now);
   const OwnerQuery question{tenant, zone_, pool.zone()};
   return best && rank(OwnerCandidate{&best->daemon, &best->zone, best->outstanding, best->preference},
--- a/src/pooling/statement_forwarder.hpp
+++ b/src/pooling/statement_forwarder.hpp
@@ -24,7 +24,7 @@
 
 /// An owner that owes an answer and has said nothing for this long is asked for a sign of life. It may be
 /// waiting for its database, but it answers a probe at once.
-inline constexpr core::Duration kDoubtOwnerAfterSilence = std::chrono::milliseconds(200);
+inline constexpr core::Duration kOwnerSilenceBeforeProbe = std::chrono::milliseconds(200);
 
 /// Another daemon, as one that may run statements for this one.
 struct OwnerLink {
@@ -33,7 +33,7 @@
   core::ZoneName zone;
   std::uint64_t incarnation = 0;
   std::unique_ptr<wire::Channel> channel;
-  BackendHealth health{kDoubtOwnerAfterSilence};
+  BackendHealth health{kOwnerSilenceBeforeProbe};
   std::uint32_t outstanding = 0;  ///< Statements that it has.
   /// Orders owners that are alike, differently for each daemon that asks.
   std::uint64_t preference = 0;
@@ -45,10 +45,10 @@
 /// Which statements are passed on, and what came of it.
 struct ForwardCounters {
   std::uint64_t sent = 0;
-  std::uint64_t not_run = 0;          ///< Owners that said so, or could not be reached.
-  std::uint64_t lost = 0;             ///< Without an answer.
-  std::uint64_t positions_asked = 0;  ///< Times that an owner was asked for a primary's position.
-  std::uint64_t positions_told = 0;   ///< Of these, those that brought one.
+  std::uint64_t not_run = 0;             ///< Owners that said so, or could not be reached.
+  std::uint64_t lost = 0;                ///< Without an answer.
+  std::uint64_t positions_asked = 0;     ///< Times that an owner was asked for a primary's position.
+  std::uint64_t positions_received = 0;  ///< Of these, those that brought one.
   std::uint64_t probes = 0;
 };
 
@@ -69,8 +69,8 @@
                              core::Instant now) const;
   /// True when a tenant's statements are better run by another owner, although this daemon owns connections
   /// too.
-  [[nodiscard]] bool prefers_another(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
-                                     const core::TenantName& tenant, core::Instant now) const;
+  [[nodiscard]] bool prefers_other_owner(const std::vector<core::DaemonId>& owners, const BackendPool& pool,
+                                         const core::TenantName& tenant, core::Instant now) const;
   /// A lease on a connection of one of the owners. Nothing is sent before its first statement.
   std::unique_ptr<StatementLease> lease(const std::shared_ptr<BackendPool>& pool,
                                         std::vector<core::DaemonId> owners, const ConnectionRequest& request);
@@ -118,11 +118,12 @@
 };
 
 /// Longest wait for a connection at an owner while others may have one free, and at the last that is tried.
-inline constexpr core::Duration kFirstOwnersWait = std::chrono::milliseconds(30);
-inline constexpr core::Duration kLastOwnersWait = std::chrono::milliseconds(120);
+inline constexpr core::Duration kFirstOwnersMaxWait = std::chrono::milliseconds(30);
+inline constexpr core::Duration kLastOwnerMaxWait = std::chrono::milliseconds(120);
 /// Owners that one statement is offered to.
-inline constexpr int kOwnersTried = 3;
+inline constexpr int kMaxOwnersTried = 3;
 /// Longest time from a statement's passing on until it runs, if it does.
-inline constexpr core::Duration kLongestForwardWait = kFirstOwnersWait * (kOwnersTried - 1) + kLastOwnersWait;
+inline constexpr core::Duration kMaxForwardWait =
+    kFirstOwnersMaxWait * (kMaxOwnersTried - 1) + kLastOwnerMaxWait;
 
 }  // namespace pipitpond::pooling
--- a/src/pooling/statement_lease.hpp
+++ b/src/pooling/statement_lease.hpp
@@ -27,7 +27,7 @@
   /// The connection is closed, not used again.
   virtual void discard() = 0;
   /// How long the first statement may still wait for its connection.
-  [[nodiscard]] virtual core::Duration longest_wait() const = 0;
+  [[nodiscard]] virtual core::Duration max_connection_wait() const = 0;
 
  protected:
   StatementLease() = default;
--- a/src/pooling/told_age.hpp
+++ b/src/pooling/told_age.hpp
@@ -17,14 +17,14 @@
 inline constexpr core::Duration kAgeRounding = std::chrono::milliseconds(2);
 
 /// The age to tell for `age`, which must not be negative.
-inline std::uint32_t told_age_ms(core::Duration age) {
+inline std::uint32_t reported_age_ms(core::Duration age) {
   // Rounded up once, at the end: 18.9 ms are 19.9 ms by a clock that is 5% faster.
   const core::Duration by_faster_clock = age + age / kClockRatePart;
   return static_cast<std::uint32_t>(core::to_millis(by_faster_clock) + 1);
 }
 
 /// The greatest age by the teller's clock that is told as no more than `most`; negative when there is none.
-inline core::Duration countable_age(core::Duration most) {
+inline core::Duration max_reportable_age(core::Duration most) {
   return most * kClockRatePart / (kClockRatePart + 1) - kAgeRounding;
 }
 
--- a/src/raft/config.hpp
+++ b/src/raft/config.hpp
@@ -45,7 +45,7 @@
   core::Duration remove_silent_after = std::chrono::seconds(6);
   /// With open membership: silent voters are removed down to this many, which must bear the loss of as many
   /// disks at once as the fleet is to bear.
-  std::size_t least_voters = 3;
+  std::size_t min_voters = 3;
   Mechanisms mechanisms;
 };
 
--- a/src/raft/node.cpp
+++ b/src/raft/node.cpp
@@ -106,7 +106,7 @@
 
 bool Node::has_ready() const {
   if (in_flight_) return false;
-  const bool reads_can_start = reads_.needs_round() && leads_with_committed_term();
+  const bool reads_can_start = reads_.needs_round() && has_committed_in_current_term();
   return hard_state_.term != handed_out_hard_state_.term ||
          hard_state_.voted_for != handed_out_hard_state_.voted_for || snapshot_changed_ ||
          persisted_ < log_.last_index() || !messages_.empty() || applied_ < hard_state_.commit ||
@@ -118,7 +118,7 @@
   if (in_flight_) return ready;
   if (role_ == Role::kLeader) {
     // All proposals and reads since the last Ready share one round of appends.
-    const bool new_round = reads_.needs_round() && leads_with_committed_term();
+    const bool new_round = reads_.needs_round() && has_committed_in_current_term();
     if (new_round) {
       begin_round();
       reads_.begin_round(round_, hard_state_.commit);
@@ -178,7 +178,7 @@
   snapshot_changed_ = true;
 }
 
-bool Node::leads_with_committed_term() const {
+bool Node::has_committed_in_current_term() const {
   return role_ == Role::kLeader && log_.term_at(hard_state_.commit) == hard_state_.term;
 }
 
--- a/src/raft/node.hpp
+++ b/src/raft/node.hpp
@@ -61,7 +61,7 @@
 };
 
 /// The last answer to a request to join.
-struct JoinAnswer {
+struct LastJoinReply {
   core::ControlId from;
   JoinRefusal refusal = JoinRefusal::kNotLeader;
   core::ControlId leader;  ///< Whom it takes for the leader; empty: nobody.
@@ -100,13 +100,13 @@
   /// learner that hears of no leader. The change that added it may have been lost with the leader that made
   /// it, and then nobody else knows of this replica.
   [[nodiscard]] bool wants_to_join() const;
-  /// A joining replica's request, to be sent to the replicas that its settings name, to join_contacts() and
+  /// A joining replica's request, to be sent to the replicas that its settings name, to join_endpoints() and
   /// to whoever calls at its address, whatever their identities are now.
   [[nodiscard]] Message join_request(const Member& self) const;
   /// Where else to ask: the members of this replica's log, and those that others have named in their answers.
   /// The replicas of the settings alone may be any part of the members, or none.
-  [[nodiscard]] std::vector<core::Endpoint> join_contacts() const;
-  [[nodiscard]] const std::optional<JoinAnswer>& join_answer() const { return join_answer_; }
+  [[nodiscard]] std::vector<core::Endpoint> join_endpoints() const;
+  [[nodiscard]] const std::optional<LastJoinReply>& last_join_reply() const { return last_join_reply_; }
 
   [[nodiscard]] bool has_ready() const;
   /// The work to do now; empty until the last one was advanced.
@@ -125,7 +125,7 @@
   /// by the only leader. Always false while leadership is being handed over.
   [[nodiscard]] bool has_quorum(core::Instant now) const;
   /// True once an entry of this leader's own term is committed: the applied state is then up to date.
-  [[nodiscard]] bool leads_with_committed_term() const;
+  [[nodiscard]] bool has_committed_in_current_term() const;
   [[nodiscard]] bool transferring() const { return transfer_target_.has_value(); }
   /// When tick() is due.
   [[nodiscard]] core::Instant next_timer() const;
@@ -238,7 +238,7 @@
 
   // Joining.
   std::vector<core::Endpoint> named_replicas_;  ///< By answers; the latest last.
-  std::optional<JoinAnswer> join_answer_;
+  std::optional<LastJoinReply> last_join_reply_;
 
   // Candidates.
   std::map<core::ControlId, bool> votes_;
--- a/src/raft/node_joining.cpp
+++ b/src/raft/node_joining.cpp
@@ -34,7 +34,7 @@
   return Message{config_.cluster, config_.id, {}, hard_state_.term, JoinRequest{self}};
 }
 
-std::vector<core::Endpoint> Node::join_contacts() const {
+std::vector<core::Endpoint> Node::join_endpoints() const {
   std::vector<core::Endpoint> contacts;
   for (const auto& member : membership().members) {
     if (member.id != config_.id) add_once(contacts, member.internal);
@@ -45,7 +45,7 @@
 
 void Node::handle(const Message& message, const JoinReply& reply) {
   if (!wants_to_join()) return;
-  join_answer_ = JoinAnswer{message.from, reply.refusal, reply.leader, now_};
+  last_join_reply_ = LastJoinReply{message.from, reply.refusal, reply.leader, now_};
   for (const auto& member : reply.members) add_once(named_replicas_, member.internal);
   if (named_replicas_.size() <= kMostNamedReplicas) return;
   const auto excess = named_replicas_.size() - kMostNamedReplicas;
--- a/src/raft/node_membership.cpp
+++ b/src/raft/node_membership.cpp
@@ -31,7 +31,7 @@
   if (!config_.mechanisms.one_membership_change) return core::outcome::success();
   // Two changes at once, or one on top of an earlier leader's that is neither committed nor gone, could give
   // two majorities without a common member.
-  if (membership_change_pending() || !leads_with_committed_term()) {
+  if (membership_change_pending() || !has_committed_in_current_term()) {
     return core::fail(ErrorKind::kConflict, "Another change of the control replicas is not committed yet.",
                       "Retry in a second.", 1000);
   }
@@ -187,7 +187,7 @@
 bool Node::can_spare_one() const {
   // The others must stand by themselves, also without one more of them.
   const std::size_t left = membership().voter_count() - 1;
-  return left >= config_.least_voters && voters_in_contact() > left / 2 + 1;
+  return left >= config_.min_voters && voters_in_contact() > left / 2 + 1;
 }
 
 void Node::remove_member(Member removed, MembershipReason reason) {
--- a/src/simulation_group/control_node.cpp
+++ b/src/simulation_group/control_node.cpp
@@ -73,7 +73,7 @@
   const core::Instant now = host_.now();
   coordinator_->tick(now);
   for (const failover::RemovableDaemon& lost : leases_.removable(now)) {
-    coordinator_->on_daemon_gone(now, lost.daemon);
+    coordinator_->on_daemon_removed(now, lost.daemon);
     propose("daemon " + lost.daemon.value(), configuration::RemoveDaemon{lost.daemon, lost.incarnation});
   }
   carry_out_effects();
@@ -104,7 +104,7 @@
   if (!leases_.needs_admission(heartbeat)) {
     return;
   }
-  const protocol::Daemon wanted = failover::DaemonLeases::described_by(heartbeat);
+  const protocol::Daemon wanted = failover::DaemonLeases::daemon_from_heartbeat(heartbeat);
   propose("daemon " + wanted.id.value(),
           configuration::AdmitDaemon{wanted.id, wanted.incarnation, wanted.zone, wanted.internal,
                                      wanted.callers});
@@ -343,12 +343,12 @@
   }
 }
 
-void ControlNode::carry_out(const failover::ProposeBegin& effect) {
+void ControlNode::carry_out(const failover::ProposeBeginPrimaryChange& effect) {
   propose("begin " + effect.group.value(),
           configuration::BeginPrimaryChange{effect.group, effect.expected_term, effect.new_term});
 }
 
-void ControlNode::carry_out(const failover::ProposeComplete& effect) {
+void ControlNode::carry_out(const failover::ProposeCompletePrimaryChange& effect) {
   propose("complete " + effect.group.value(),
           configuration::CompletePrimaryChange{effect.group, effect.term, effect.primary, effect.start});
 }
--- a/src/simulation_group/control_node.hpp
+++ b/src/simulation_group/control_node.hpp
@@ -67,10 +67,10 @@
   void carry_out(const failover::ProbeDatabase& effect);
   void carry_out(const failover::FenceDatabase& effect);
   void carry_out(const failover::PromoteDatabase& effect);
-  void carry_out(const failover::ProposeBegin& effect);
-  void carry_out(const failover::ProposeComplete& effect);
-  void carry_out(const failover::ProposeAdopt&) {}   ///< Its groups are declared by operators.
-  void carry_out(const failover::ProposeRemove&) {}  ///< The same.
+  void carry_out(const failover::ProposeBeginPrimaryChange& effect);
+  void carry_out(const failover::ProposeCompletePrimaryChange& effect);
+  void carry_out(const failover::ProposeAdoptPrimary&) {}    ///< Its groups are declared by operators.
+  void carry_out(const failover::ProposeRemoveDatabase&) {}  ///< The same.
   void fence(const failover::FenceDatabase& effect);
   void pretend_fence(const failover::FenceDatabase& effect);
   void promote(const failover::PromoteDatabase& effect);
--- a/tests/control/operator_api_test.cpp
+++ b/tests/control/operator_api_test.cpp
@@ -17,7 +17,7 @@
     leader_ = cluster_.wait_for_leader();
     for (const std::string& name : cluster_.names()) {
       duties_[name] = std::make_unique<LeaderDuties>(
-          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallAnswers answers) {
+          io_, cluster_.replica(name), protocol::kDaemonLease, [this](DatabaseCallCallbacks answers) {
             return std::make_unique<HttpDatabaseCalls>(io_, DatabaseCallTimeouts{}, std::move(answers));
           });
       apis_[name] = std::make_unique<OperatorApi>(
--- a/tests/failover_logic/daemon_leases_test.cpp
+++ b/tests/failover_logic/daemon_leases_test.cpp
@@ -210,24 +210,24 @@
   heartbeat_of("x", 10);
   heartbeat_of("y", 10);
   set_primary(11, 2, "");
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11));
+  EXPECT_FALSE(leases_.applied_or_lease_expired(now_, 11));
   heartbeat_of("x", 11);
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11)) << "y may still trust the old primary";
+  EXPECT_FALSE(leases_.applied_or_lease_expired(now_, 11)) << "y may still trust the old primary";
   now_ += protocol::kDaemonLease;
   heartbeat_of("x", 11);
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11)) << "the clocks may differ in speed";
+  EXPECT_FALSE(leases_.applied_or_lease_expired(now_, 11)) << "the clocks may differ in speed";
   now_ += protocol::kLeaseClockMargin;
-  EXPECT_TRUE(leases_.followed_or_expired(now_, 11));
+  EXPECT_TRUE(leases_.applied_or_lease_expired(now_, 11));
 }
 
 TEST_F(LeasesAndPrimariesTest, ANewLeaderDoesNotKnowWhichLeasesRun) {
   set_primary(11, 2, "");
   leases_.on_leadership(now_, false);
   leases_.on_leadership(now_, true);
-  EXPECT_FALSE(leases_.followed_or_expired(now_, 11));
+  EXPECT_FALSE(leases_.applied_or_lease_expired(now_, 11));
   heartbeat_of("x", 11);
   heartbeat_of("y", 11);
-  EXPECT_TRUE(leases_.followed_or_expired(now_, 11));
+  EXPECT_TRUE(leases_.applied_or_lease_expired(now_, 11));
 }
 
 }  // namespace
--- a/tests/failover_logic/example_group.cpp
+++ b/tests/failover_logic/example_group.cpp
@@ -131,9 +131,9 @@
           fence(one);
         } else if constexpr (std::is_same_v<Kind, PromoteDatabase>) {
           promote(one);
-        } else if constexpr (std::is_same_v<Kind, ProposeBegin>) {
+        } else if constexpr (std::is_same_v<Kind, ProposeBeginPrimaryChange>) {
           begin(one);
-        } else if constexpr (std::is_same_v<Kind, ProposeComplete>) {
+        } else if constexpr (std::is_same_v<Kind, ProposeCompletePrimaryChange>) {
           complete(one);
         }
       },
@@ -197,7 +197,7 @@
   coordinator_->on_promote_answer(now_, kGroup, database::PromoteAnswer{effect.database, effect.term, start});
 }
 
-void ExampleGroup::begin(const ProposeBegin& effect) {
+void ExampleGroup::begin(const ProposeBeginPrimaryChange& effect) {
   if (drop_proposals_ || term() != effect.expected_term) {
     return;
   }
@@ -206,7 +206,7 @@
   commit();
 }
 
-void ExampleGroup::complete(const ProposeComplete& effect) {
+void ExampleGroup::complete(const ProposeCompletePrimaryChange& effect) {
   if (drop_proposals_ || term() != effect.term || !primary().empty()) {
     return;
   }
--- a/tests/failover_logic/example_group.hpp
+++ b/tests/failover_logic/example_group.hpp
@@ -65,8 +65,8 @@
   void probe(const ProbeDatabase& effect);
   void fence(const FenceDatabase& effect);
   void promote(const PromoteDatabase& effect);
-  void begin(const ProposeBegin& effect);
-  void complete(const ProposeComplete& effect);
+  void begin(const ProposeBeginPrimaryChange& effect);
+  void complete(const ProposeCompletePrimaryChange& effect);
   void commit();
 
   core::Instant now_ = core::Instant(std::chrono::hours(1));
--- a/tests/failover_logic/receipts_test.cpp
+++ b/tests/failover_logic/receipts_test.cpp
@@ -163,19 +163,19 @@
                                    database::PromoteAnswer{promote.database, promote.term,
                                                            databases_[promote.database.value()].received});
   }
-  void carry_out(const ProposeBegin& begin) {
+  void carry_out(const ProposeBeginPrimaryChange& begin) {
     group_.terms.push_back(protocol::TermStart{begin.new_term, {}, {}});
     commit();
   }
-  void carry_out(const ProposeComplete& complete) {
+  void carry_out(const ProposeCompletePrimaryChange& complete) {
     group_.terms.back().primary = complete.primary;
     commit();
   }
-  void carry_out(const ProposeAdopt& adopt) {
+  void carry_out(const ProposeAdoptPrimary& adopt) {
     group_.terms.push_back(protocol::TermStart{adopt.term, adopt.primary, {}});
     commit();
   }
-  void carry_out(const ProposeRemove& remove) {
+  void carry_out(const ProposeRemoveDatabase& remove) {
     std::erase_if(group_.databases, [&](const protocol::Database& one) { return one.id == remove.database; });
     commit();
   }
--- a/tests/platform/database_calls_test.cpp
+++ b/tests/platform/database_calls_test.cpp
@@ -20,15 +20,15 @@
   ASSERT_TRUE(database.primary());
   std::optional<database::FenceAnswer> fenced;
   bool failed = false;
-  control::DatabaseCallAnswers answers;
+  control::DatabaseCallCallbacks answers;
   answers.fenced = [&](const failover::FenceDatabase&, const database::FenceAnswer& answer) {
     fenced = answer;
   };
   answers.fence_failed = [&](const failover::FenceDatabase&) { failed = true; };
-  control::LeaderMandate mandate;
-  mandate.holds = [] { return true; };
-  mandate.token = [] { return core::Term{1}; };
-  DatabaseCalls calls(io, PromotionOptions{}, mandate, answers);
+  control::FencedLeadership fenced_leadership;
+  fenced_leadership.holds = [] { return true; };
+  fenced_leadership.token = [] { return core::Term{1}; };
+  DatabaseCalls calls(io, PromotionOptions{}, fenced_leadership, answers);
   const core::Endpoint endpoint{"127.0.0.1", database.options().port};
   calls.fence(failover::FenceDatabase{core::GroupName(database.options().service),
                                       core::DatabaseId(database.options().id), endpoint, 7});
--- a/tests/platform/line_codec_test.cpp
+++ b/tests/platform/line_codec_test.cpp
@@ -131,7 +131,7 @@
   ReplyReader reader;
   EXPECT_FALSE(reader.take("ERR SURPRISE x").value());
   EXPECT_TRUE(reader.take("READY I -").value());
-  EXPECT_FALSE(pooling::surely_not_run(reader.finish().failure->code));
+  EXPECT_FALSE(pooling::guarantees_not_run(reader.finish().failure->code));
 }
 
 TEST(ReplyReaderTest, NonsenseIsNoReply) {
--- a/tests/pooling/caller_access_test.cpp
+++ b/tests/pooling/caller_access_test.cpp
@@ -171,7 +171,7 @@
     ASSERT_LT(++granted, 20);
   }
   EXPECT_EQ(reply.failure->code, FailureCode::kOverQuota);
-  EXPECT_TRUE(surely_not_run(reply.failure->code));
+  EXPECT_TRUE(guarantees_not_run(reply.failure->code));
   EXPECT_NE(reply.failure->text.find("retry in"), std::string::npos);
   EXPECT_EQ(ran().size(), static_cast<std::size_t>(granted));
   EXPECT_EQ(access_.counters().over_quota, 1U);
@@ -194,7 +194,7 @@
   connector_.database("a").refuses_connections = true;
   const StatementReply reply = read(*session("k1"));
   ASSERT_TRUE(reply.failure);
-  EXPECT_TRUE(surely_not_run(reply.failure->code));
+  EXPECT_TRUE(guarantees_not_run(reply.failure->code));
   EXPECT_EQ(given_back(), 1U);
 }
 
@@ -203,7 +203,7 @@
   connector_.database("a").next_failures.assign(kMoreThanAreTried, FailureCode::kBusy);
   const StatementReply reply = read(*session("k1"));
   ASSERT_TRUE(reply.failure);
-  EXPECT_TRUE(surely_not_run(reply.failure->code));
+  EXPECT_TRUE(guarantees_not_run(reply.failure->code));
   EXPECT_EQ(given_back(), 1U);
 }
 
--- a/tests/pooling/caller_session_test.cpp
+++ b/tests/pooling/caller_session_test.cpp
@@ -56,8 +56,8 @@
 
   /// The databases' own word of the primary is not to be had: the replicas don't answer.
   void silence_replicas() {
-    connector_.database("b").tells_no_status = true;
-    connector_.database("c").tells_no_status = true;
+    connector_.database("b").fails_status = true;
+    connector_.database("c").fails_status = true;
   }
 
   std::vector<RanStatement>& ran(const std::string& id) { return connector_.database(id).ran; }
@@ -417,9 +417,9 @@
 TEST_F(CallerSessionTest, ATransactionWhoseCallerRestsTooLongIsEnded) {
   CallerSession session(services_, "writes");
   run(session, example_statement(StatementKind::kBegin, ""));
-  session.end_transaction_when_idle(core::BootClock::now());
+  session.end_transaction_if_idle(core::BootClock::now());
   EXPECT_EQ(session.state(), TransactionState::kOpen);
-  session.end_transaction_when_idle(core::BootClock::now() + milliseconds(250));
+  session.end_transaction_if_idle(core::BootClock::now() + milliseconds(250));
   EXPECT_EQ(session.state(), TransactionState::kFailed);
   const StatementReply reply = run(session, example_statement(StatementKind::kCommit, ""));
   EXPECT_EQ(reply.failure->code, FailureCode::kAborted);
--- a/tests/pooling/fake_backends.hpp
+++ b/tests/pooling/fake_backends.hpp
@@ -44,8 +44,8 @@
   bool silent = false;                     ///< Batches get no answer until their time-out.
   std::vector<FailureCode> next_failures;  ///< Of the next statements of callers.
   bool break_after_running = false;        ///< The next batch runs, and its connection breaks.
-  bool tells_no_status = false;            ///< Questions for its status get no answer.
-  int statuses_asked = 0;
+  bool fails_status = false;               ///< Questions for its status get no answer.
+  int status_requests = 0;
   std::vector<RanStatement> ran;
 };
 
@@ -89,11 +89,11 @@
   }
 
   boost::asio::awaitable<core::Result<BackendStatus>> status(core::Duration) override {
-    ++database_.statuses_asked;
+    ++database_.status_requests;
     if (database_.status_work > core::Duration::zero()) {
       co_await pause_for(io_, database_.status_work);
     }
-    if (database_.tells_no_status) {
+    if (database_.fails_status) {
       co_return core::fail(core::ErrorKind::kOverloaded, "No slot is free.", "Ask again.");
     }
     co_return BackendStatus{database_.primary, 1, database_.position, 0, 0, 0};
--- a/tests/pooling/quota_asker_test.cpp
+++ b/tests/pooling/quota_asker_test.cpp
@@ -1,5 +1,5 @@
 // How a daemon asks a tenant's home: alone while there are operations, together after it had none left.
-#include "pooling/quota_asker.hpp"
+#include "pooling/quota_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -54,7 +54,7 @@
   }
 
   PendingAnswer start(std::uint32_t priority = 0) {
-    return pipitpond::testing::start(io_, asker_.take({kHome}, QuotaAsked{kTenant, priority}, take_own_));
+    return pipitpond::testing::start(io_, asker_.take({kHome}, QuotaScope{kTenant, priority}, take_own_));
   }
   QuotaAnswer finish(const PendingAnswer& pending) {
     EXPECT_TRUE(pipitpond::testing::run_until(io_, [&] { return pending->done(); }));
@@ -84,9 +84,9 @@
   }
 
   boost::asio::io_context io_;
-  QuotaAsker asker_;
+  QuotaClient asker_;
   std::unique_ptr<wire::Server> server_;
-  TakeOwn take_own_ = [](const QuotaAsked&) { return tenancy::QuotaGrant{}; };
+  TakeFromLocalHome take_own_ = [](const QuotaScope&) { return tenancy::QuotaGrant{}; };
   std::deque<QuotaReply> replies_;
   std::vector<QuotaRequest> asked_;
   bool silent_ = false;
@@ -154,7 +154,7 @@
   run_short();
   silent_ = true;
   for (const QuotaAnswer& answer : ask_at_once(5)) {
-    EXPECT_EQ(answer.outcome, QuotaOutcome::kNotTold);
+    EXPECT_EQ(answer.outcome, QuotaOutcome::kNoHomeAvailable);
   }
   EXPECT_EQ(asked_.size(), 1U);
 }
--- a/tests/pooling/shown_primary_test.cpp
+++ b/tests/pooling/shown_primary_test.cpp
@@ -173,7 +173,7 @@
   int statuses() {
     int asked = 0;
     for (const char* id : {"a", "b", "c"}) {
-      asked += owner_.connector.database(id).statuses_asked;
+      asked += owner_.connector.database(id).status_requests;
     }
     return asked;
   }
@@ -270,8 +270,8 @@
 }
 
 TEST_F(ProofSharingTest, WithoutAProofTheOwnerReturnsAnErrorInTime) {
-  owner_.connector.database("b").tells_no_status = true;
-  owner_.connector.database("c").tells_no_status = true;
+  owner_.connector.database("b").fails_status = true;
+  owner_.connector.database("c").fails_status = true;
   const core::Instant begun = core::BootClock::now();
   const auto asked = ask_owner(0);
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return asked->done(); }));
--- a/tests/pooling/statement_forward_test.cpp
+++ b/tests/pooling/statement_forward_test.cpp
@@ -170,7 +170,7 @@
   CallerSession reader(newcomer.services, "board");
   ASSERT_FALSE(run(reader, example_statement(StatementKind::kRead)).failure);
   EXPECT_EQ(ran().size(), 1U) << "the primary ran the write only";
-  EXPECT_EQ(newcomer.backends.forwards().positions_told, 1U);
+  EXPECT_EQ(newcomer.backends.forwards().positions_received, 1U);
   const auto& at_b = owner_.connector.database("b").ran;
   const auto& at_c = owner_.connector.database("c").ran;
   ASSERT_EQ(at_b.size() + at_c.size(), 1U);
--- a/tests/raft/cluster.hpp
+++ b/tests/raft/cluster.hpp
@@ -55,7 +55,7 @@
     config.cluster = "test";
     config.trailing_entries = 2;
     config.open_membership = open_membership_;
-    config.least_voters = least_voters_;
+    config.min_voters = least_voters_;
     config.mechanisms = mechanisms_;
     const auto seed = ++seed_;
     auto applied = split(disk.snapshot.state);
@@ -71,8 +71,8 @@
   void cut(const core::ControlId& id) { cut_.insert(id); }
   [[nodiscard]] bool is_cut(const core::ControlId& id) const { return cut_.count(id) > 0; }
   /// Restarts all replicas with this setting.
-  void set_least_voters(std::size_t least_voters) {
-    least_voters_ = least_voters;
+  void set_least_voters(std::size_t min_voters) {
+    least_voters_ = min_voters;
     std::vector<core::ControlId> all;
     for (const auto& [id, each] : replicas_) all.push_back(id);
     for (const auto& id : all) restart(id);
@@ -117,7 +117,7 @@
     return best;
   }
   Node& elect() {
-    run_until([this] { return leader() != nullptr && leader()->leads_with_committed_term(); });
+    run_until([this] { return leader() != nullptr && leader()->has_committed_in_current_term(); });
     return *leader();
   }
   /// Proposes at the leader and waits until it is applied by every replica that is in contact.
@@ -208,7 +208,7 @@
   std::set<core::ControlId> cut_;
   std::uint64_t seed_ = 0;
   bool open_membership_ = false;
-  std::size_t least_voters_ = Config().least_voters;
+  std::size_t least_voters_ = Config().min_voters;
   Mechanisms mechanisms_;
 };
 
--- a/tests/raft/joining_test.cpp
+++ b/tests/raft/joining_test.cpp
@@ -34,7 +34,7 @@
     next_ = cluster_.now + kAskInterval;
     const auto request = node.join_request(self_);
     std::set<core::Endpoint> asked = named_;
-    for (const auto& contact : node.join_contacts()) asked.insert(contact);
+    for (const auto& contact : node.join_endpoints()) asked.insert(contact);
     for (const auto& endpoint : asked) {
       if (endpoint != self_.internal) cluster_.send_to_place(endpoint, request);
     }
@@ -117,12 +117,12 @@
   const auto request = cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner));
   cluster.send_to_place(member(follower).internal, request);
   cluster.run_for(milliseconds(50));
-  const auto& answer = cluster.node(replica(4)).join_answer();
+  const auto& answer = cluster.node(replica(4)).last_join_reply();
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->from, follower);
   EXPECT_EQ(answer->refusal, JoinRefusal::kNotLeader);
   EXPECT_EQ(answer->leader, leader);
-  EXPECT_EQ(cluster.node(replica(4)).join_contacts().size(), 3U);
+  EXPECT_EQ(cluster.node(replica(4)).join_endpoints().size(), 3U);
 }
 
 TEST(Joining, WithoutALeaderTheAnswerNamesNobody) {
@@ -136,8 +136,8 @@
   cluster.send_to_place(member(others[1]).internal,
                         cluster.node(replica(4)).join_request(member(replica(4), MemberRole::kLearner)));
   cluster.run_for(milliseconds(20));
-  ASSERT_TRUE(cluster.node(replica(4)).join_answer().has_value());
-  EXPECT_EQ(cluster.node(replica(4)).join_answer()->leader, core::ControlId());
+  ASSERT_TRUE(cluster.node(replica(4)).last_join_reply().has_value());
+  EXPECT_EQ(cluster.node(replica(4)).last_join_reply()->leader, core::ControlId());
 }
 
 TEST(Joining, NamedReplicasAreBounded) {
@@ -152,7 +152,7 @@
     }
     cluster.node(replica(2)).step(cluster.now, Message{"test", replica(1), replica(2), 0, reply});
   }
-  EXPECT_EQ(cluster.node(replica(2)).join_contacts().size(), 64U);
+  EXPECT_EQ(cluster.node(replica(2)).join_endpoints().size(), 64U);
 }
 
 }  // namespace
--- a/tests/raft/membership_test.cpp
+++ b/tests/raft/membership_test.cpp
@@ -213,7 +213,7 @@
   ASSERT_TRUE(cluster.elect().transfer_leadership(cluster.now).has_value());
   ASSERT_TRUE(cluster.run_until([&] {
     Node* leader = cluster.leader();
-    return leader != nullptr && leader->config().id != before && leader->leads_with_committed_term();
+    return leader != nullptr && leader->config().id != before && leader->has_committed_in_current_term();
   }));
 }
 
