--- a/src/pooling/backends_choice.cpp
+++ b/src/pooling/backends_choice.cpp
@@ -1,4 +1,4 @@
-// Where a statement is best run, and the connection to run it on.
+// Chooses the database for a statement and acquires the connection to run it on.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -29,27 +29,28 @@
     return std::nullopt;
   }
   const BackendPool& pool = *primary->second.pool;
-  if (!pool.health().usable() && !others_serve(pool, now)) {
+  if (!pool.health().usable() && !other_owners_reachable(pool, now)) {
     return std::nullopt;
   }
   return BackendChoice{primary->second.pool, true, view.term};
 }
 
-bool Backends::others_serve(const BackendPool& pool, core::Instant now) const {
+bool Backends::other_owners_reachable(const BackendPool& pool, core::Instant now) const {
   const core::DatabaseId& database = pool.address().database;
   return forwarder_.reaches(agent_.owner_table().owners(database), database, now);
 }
 
-/// Where this daemon owns no connections, or has none and can't get any now: the database is cut off from
-/// here, or counts the connections of machines that are gone.
-bool Backends::should_pass_on(const BackendPool& pool, core::Instant now) const {
+/// True when statements must go through another owner: this daemon owns no connections to the database, or
+/// has none and can't open one now, because it is partitioned from the database or because the database still
+/// counts connections of lost machines against its limit.
+bool Backends::should_forward(const BackendPool& pool, core::Instant now) const {
   const bool serves_itself = owns(agent_.owner_table().owners(pool.address().database)) && pool.can_serve();
-  return !serves_itself && others_serve(pool, now);
+  return !serves_itself && other_owners_reachable(pool, now);
 }
 
-/// A tenant's statements meet at one near owner, also those of other owners' callers.
-bool Backends::belongs_to_another(const BackendPool& pool, const ConnectionRequest& request,
-                                  core::Instant now) const {
+/// Statements of one tenant are directed to the same owner nearby, also those that arrive at other owners.
+bool Backends::prefers_another_owner(const BackendPool& pool, const ConnectionRequest& request,
+                                     core::Instant now) const {
   if (!request.tenant || request.tenant->empty()) {
     return false;
   }
@@ -73,7 +74,7 @@
       continue;
     }
     const core::Duration expected = cost(pool) + (is_primary ? kPrimaryReadCost : core::Duration::zero());
-    // Of databases that are alike each daemon prefers another one: the first in order would serve all.
+    // Breaks ties differently on each daemon. Otherwise all would read at the first database in order.
     const std::uint64_t preference = ownership::weight_of(self_, id);
     if (best == nullptr || std::tie(expected, preference) < std::tie(least, best_preference)) {
       best = member.pool;
@@ -89,13 +90,13 @@
 }
 
 core::Duration Backends::cost(const BackendPool& pool) const {
-  return pool.expected_wait() + (pool.zone() == zone_ ? core::Duration::zero() : kOtherZoneCost);
+  return pool.expected_wait() + (pool.zone() == zone_ ? core::Duration::zero() : kCrossZoneCost);
 }
 
 boost::asio::awaitable<core::Result<std::unique_ptr<StatementLease>>> Backends::acquire(
     BackendChoice choice, ConnectionRequest request) {
   const core::Instant now = core::BootClock::now();
-  if (should_pass_on(*choice.pool, now) || belongs_to_another(*choice.pool, request, now)) {
+  if (should_forward(*choice.pool, now) || prefers_another_owner(*choice.pool, request, now)) {
     const core::DatabaseId& database = choice.pool->address().database;
     co_return forwarder_.lease(choice.pool, agent_.owner_table().owners(database), request);
   }
--- a/tests/pooling/concurrency_load_test.cpp
+++ b/tests/pooling/concurrency_load_test.cpp
@@ -1,4 +1,5 @@
-// Owners of one database under more load than its slots can take: what their limits let through.
+// Simulates the owners of one database under more load than its slots can take, and checks what their
+// concurrency limits let through.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -23,12 +24,12 @@
 constexpr std::size_t kOwners = 8;
 constexpr std::uint32_t kMostOfOneOwner = 5;
 constexpr int kStatementsOfTransaction = 5;
-constexpr core::Duration kRest = milliseconds(2);        ///< Between statements of a transaction.
-constexpr core::Duration kBusyPause = milliseconds(10);  ///< After a rejection.
+constexpr core::Duration kRest = milliseconds(2);        ///< Pause between statements of a transaction.
+constexpr core::Duration kBusyPause = milliseconds(10);  ///< Pause after a rejection.
 constexpr core::Duration kRejection = milliseconds(1);
 constexpr core::Duration kGoal = milliseconds(400);
 constexpr core::Duration kDeadline = milliseconds(1000);
-constexpr core::Duration kUsual = milliseconds(9);
+constexpr core::Duration kAverageTime = milliseconds(9);
 
 struct Outcome {
   std::size_t asked = 0;
@@ -52,11 +53,11 @@
 
 struct Owner {
   ConcurrencyLimit limit;
-  StatementLine line;
-  StatementsUnderWay under_way;
+  StatementQueue queue;
+  StatementsInFlight in_flight;
 };
 
-/// All owners and the database, played without a network.
+/// Discrete-event simulation of all owners and the database, without a network.
 class Play {
  public:
   Play(std::uint32_t seed, bool counts_transactions)
@@ -66,7 +67,8 @@
     }
   }
 
-  /// Five seconds of requests, a part of which are transactions; then as long as any of them runs.
+  /// Simulates 5 s of requests, of which the given fraction are transactions, and then until all of them have
+  /// ended.
   Outcome run(int statements_per_second, double transactions) {
     constexpr int kSeconds = 5;
     const double statements = 1 + transactions * (kStatementsOfTransaction - 1);
@@ -139,16 +141,16 @@
   // --- Owners
 
   void arrive(const Request& request) {
-    LineEntry entry;
+    QueueEntry entry;
     entry.number = ++last_number_;
     entry.goal = request.arrived + kGoal;
     waiting_.emplace(entry.number, request);
-    owners_[request.owner].line.join(now_, entry, kSlots * kMostWaitingForEachSlot, kUsual);
+    owners_[request.owner].queue.enqueue(now_, entry, kSlots * kMaxWaitingPerSlot, kAverageTime);
     serve(request.owner);
   }
 
   [[nodiscard]] bool has_room(const Owner& owner) const {
-    StatementsUnderWay counted = owner.under_way;
+    StatementsInFlight counted = owner.in_flight;
     counted.in_transactions = counts_transactions_ ? counted.in_transactions : 0;
     return owner.limit.has_room(counted);
   }
@@ -156,7 +158,7 @@
   void serve(std::size_t index) {
     Owner& owner = owners_[index];
     while (has_room(owner)) {
-      const auto next = owner.line.take_next(now_, kUsual, [](const LineEntry&) { return true; });
+      const auto next = owner.queue.take_next(now_, kAverageTime, [](const QueueEntry&) { return true; });
       if (!next) {
         return;
       }
@@ -169,10 +171,10 @@
   }
 
   void begin(const Request& request) {
-    ++owners_[request.owner].under_way.outside;
+    ++owners_[request.owner].in_flight.outside;
     submit([this, request, sent = now_](bool ran) {
       Owner& owner = owners_[request.owner];
-      --owner.under_way.outside;
+      --owner.in_flight.outside;
       note_answer(owner, ran, sent);
       if (ran) {
         go_on(request);
@@ -183,7 +185,7 @@
     });
   }
 
-  /// A statement of the request has run.
+  /// Continues the request after one of its statements has run.
   void go_on(Request request) {
     if (--request.statements_left > 0) {
       at_time(now_ + kRest, [this, request] { run_in_transaction(request); });
@@ -196,10 +198,10 @@
     if (now_ >= request.arrived + kDeadline) {
       return;
     }
-    ++owners_[request.owner].under_way.in_transactions;
+    ++owners_[request.owner].in_flight.in_transactions;
     submit([this, request, sent = now_](bool ran) {
       Owner& owner = owners_[request.owner];
-      --owner.under_way.in_transactions;
+      --owner.in_flight.in_transactions;
       note_answer(owner, ran, sent);
       if (ran) {
         go_on(request);
@@ -240,7 +242,7 @@
   return all;
 }
 
-/// Of the statements that 4 slots can run in a second, 444, these are 130%.
+/// 130% of the 444 statements that 4 slots can run in a second.
 constexpr int kOverload = 577;
 
 TEST(ConcurrencyLoadTest, CountingTransactionsKeepsTheDatabasesQueueFromOverflowing) {
@@ -252,7 +254,7 @@
   }
 }
 
-TEST(ConcurrencyLoadTest, CountingTransactionsCostsNothingWithoutShortage) {
+TEST(ConcurrencyLoadTest, CountingTransactionsCostsNothingWithoutOverload) {
   for (const double transactions : {0.2, 0.5, 0.8}) {
     const Outcome before = play_seeds(false, 360, transactions);
     const Outcome after = play_seeds(true, 360, transactions);
--- a/tests/pooling/freshness_test.cpp
+++ b/tests/pooling/freshness_test.cpp
@@ -22,8 +22,8 @@
 
 TEST(PrimaryPositionsTest, TheEarliestPositionThatCoversTheMomentIsEnough) {
   PrimaryPositions positions;
-  positions.note(at(100), {1, 5});
-  positions.note(at(200), {1, 9});
+  positions.record(at(100), {1, 5});
+  positions.record(at(200), {1, 9});
   EXPECT_EQ(positions.covering(at(50)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(100)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(101)), (core::LogPosition{1, 9}));
@@ -32,25 +32,25 @@
 
 TEST(PrimaryPositionsTest, AnAnswerThatOvertookAnotherKeepsTheOrderOfSending) {
   PrimaryPositions positions;
-  positions.note(at(300), {1, 9});
-  positions.note(at(100), {1, 5});
+  positions.record(at(300), {1, 9});
+  positions.record(at(100), {1, 5});
   EXPECT_EQ(positions.covering(at(90)), (core::LogPosition{1, 5}));
   EXPECT_EQ(positions.covering(at(200)), (core::LogPosition{1, 9}));
 }
 
-// The oracle: a primary whose log grows with acknowledged writes. Whatever is asked, the position must reach
-// every write that was acknowledged before the moment.
+// The oracle is a primary whose log grows with acknowledged writes: the returned position must always reach
+// every write that was acknowledged before the requested moment.
 RC_GTEST_PROP(PrimaryPositionsProperty, CoversEveryWriteAcknowledgedBefore, ()) {
   const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 40));
   PrimaryPositions positions;
-  std::vector<int> acknowledged;  // Times of writes; the n-th has index n + 1.
+  std::vector<int> acknowledged;  // Times of the writes; the write at offset n has log index n + 1.
   int now = 0;
   for (const int step : steps) {
     now += step;
     if (step % 3 == 0) {
       acknowledged.push_back(now);
     } else {
-      positions.note(at(now), {1, acknowledged.size()});
+      positions.record(at(now), {1, acknowledged.size()});
     }
   }
   const int asked = *rc::gen::inRange(0, now + 10);
--- a/tests/pooling/shown_primary_test.cpp
+++ b/tests/pooling/shown_primary_test.cpp
@@ -1,5 +1,5 @@
-// Proofs of who is the primary that owners tell: the messages by cases, and an owner with daemons that ask it
-// over real connections.
+// Tests of proofs of the primary that owners pass to other daemons: the messages by single cases, and one
+// owner with daemons that send it requests over real connections.
 #include "pooling/shown_primary.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 const core::DatabaseId kA("a");
 const core::Instant kArrived = core::Instant{} + std::chrono::hours(1);
 
-ShownPrimaryRequest question(std::uint32_t max_age_ms) {
+ShownPrimaryRequest proof_request(std::uint32_t max_age_ms) {
   ShownPrimaryRequest request;
   request.group = kGroup;
   request.max_age_ms = max_age_ms;
@@ -32,38 +32,39 @@
   return request;
 }
 
-TEST(ShownPrimaryTest, OnlyARoundThatBeganAfterAFreshQuestionServesIt) {
-  EXPECT_EQ(earliest_round(question(0), kArrived), kArrived);
-  EXPECT_EQ(earliest_round(question(1), kArrived), kArrived);
+TEST(ShownPrimaryTest, OnlyALaterRoundAnswersARequestWithoutAllowedAge) {
+  EXPECT_EQ(earliest_round_start(proof_request(0), kArrived), kArrived);
+  EXPECT_EQ(earliest_round_start(proof_request(1), kArrived), kArrived);
 }
 
-TEST(ShownPrimaryTest, ARoundThatServesIsToldAsYoungEnoughAndNeverTooYoung) {
+TEST(ShownPrimaryTest, TheAgeInAReplyIsWithinTheLimitAndNeverTooLow) {
   for (std::uint32_t max_age = 0; max_age < 3000; ++max_age) {
-    const core::Instant earliest = earliest_round(question(max_age), kArrived);
-    const ShownPrimaryReply reply = told(ShownPrimary{kA, earliest, {1, 5}}, 1, kArrived);
+    const core::Instant earliest = earliest_round_start(proof_request(max_age), kArrived);
+    const ShownPrimaryReply reply = make_reply(ShownPrimary{kA, earliest, {1, 5}}, 1, kArrived);
     ASSERT_LE(reply.age_ms, max_age);
     ASSERT_GE(milliseconds(reply.age_ms) * 20, (kArrived - earliest) * 21) << "the asker's clock may be fast";
   }
 }
 
-TEST(ShownPrimaryTest, ARoundThatBeganLaterCountsFromTheQuestion) {
-  const ShownPrimaryReply reply = told(ShownPrimary{kA, kArrived + milliseconds(300), {1, 5}}, 1, kArrived);
+TEST(ShownPrimaryTest, ARoundThatBeganAfterTheRequestCountsFromTheRequest) {
+  const ShownPrimaryReply reply =
+      make_reply(ShownPrimary{kA, kArrived + milliseconds(300), {1, 5}}, 1, kArrived);
   const core::Instant asked = core::Instant{} + std::chrono::hours(7);
-  const auto shown = understood(reply, {kA, 1}, asked);
+  const auto shown = proof_from_reply(reply, {kA, 1}, asked);
   ASSERT_TRUE(shown);
-  EXPECT_EQ(shown->begun, asked) << "an answer that is late, or of a frozen owner, is no younger";
+  EXPECT_EQ(shown->begun, asked) << "a reply that is late, or of a paused owner, must not seem newer";
   EXPECT_EQ(shown->position, (core::LogPosition{1, 5}));
 }
 
-TEST(ShownPrimaryTest, AnotherPrimaryOrTermShowsNothing) {
+TEST(ShownPrimaryTest, AnotherPrimaryOrTermProvesNothing) {
   const ShownPrimaryReply reply{kA, 4, {4, 20}, 0};
-  EXPECT_TRUE(understood(reply, {kA, 4}, kArrived));
-  EXPECT_FALSE(understood(reply, {kA, 3}, kArrived));
-  EXPECT_FALSE(understood(reply, {kA, 5}, kArrived));
-  EXPECT_FALSE(understood(reply, {core::DatabaseId("b"), 4}, kArrived));
+  EXPECT_TRUE(proof_from_reply(reply, {kA, 4}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {kA, 3}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {kA, 5}, kArrived));
+  EXPECT_FALSE(proof_from_reply(reply, {core::DatabaseId("b"), 4}, kArrived));
 }
 
-TEST(ShownPrimaryTest, AnyBytesAreAnAnswerThatIsNoYoungerThanTheQuestionOrNone) {
+TEST(ShownPrimaryTest, ACorruptReplyNeverGivesAProofNewerThanTheRequest) {
   std::mt19937_64 random(1);
   const std::string sound = wire::pack(ShownPrimaryReply{kA, 4, {4, 20}, 17});
   const core::Instant asked = core::Instant{} + std::chrono::hours(7);
@@ -73,13 +74,12 @@
       bytes.at(random() % bytes.size()) = static_cast<char>(random());
     }
     const auto reply = wire::unpack<ShownPrimaryReply>(bytes);
-    const auto shown = reply ? understood(reply.value(), {kA, 4}, asked) : std::nullopt;
+    const auto shown = reply ? proof_from_reply(reply.value(), {kA, 4}, asked) : std::nullopt;
     ASSERT_TRUE(!shown || shown->begun <= asked);
   }
 }
 
-// --- An owner and those that ask it
-// ------------------------------------------------------------------------------
+// --- An owner and the daemons that send it requests
 
 constexpr int kAskers = 20;
 
@@ -136,7 +136,7 @@
   boost::asio::awaitable<core::Result<std::string>> handle(wire::PeerId peer, wire::MessageType type,
                                                            std::string body) {
     if (type == wire::MessageType::kShownPrimary) {
-      ++questions_;
+      ++requests_;
       if (silent_for_ > 0) {
         --silent_for_;
         co_await pause_for(io_, std::chrono::seconds(2));
@@ -153,7 +153,7 @@
     return pipitpond::testing::run(io_, session.run(example_statement(StatementKind::kRead)));
   }
 
-  /// One read at each daemon, all at once; returns how many were answered without failure.
+  /// Runs one read at each daemon, all at once; returns how many succeeded.
   int read_at_all() {
     std::vector<std::unique_ptr<CallerSession>> sessions;
     std::vector<std::shared_ptr<pipitpond::testing::Pending<StatementReply>>> pending;
@@ -185,7 +185,7 @@
   }
 
   auto ask_owner(std::uint32_t max_age_ms) {
-    return pipitpond::testing::start(io_, owner_.backends.show_primary(question(max_age_ms)));
+    return pipitpond::testing::start(io_, owner_.backends.show_primary(proof_request(max_age_ms)));
   }
 
   void pause(milliseconds duration) {
@@ -199,8 +199,8 @@
   protocol::Configuration configuration_;
   std::vector<std::unique_ptr<DaemonParts>> askers_;
   bool older_version_ = false;
-  int silent_for_ = 0;  ///< Questions that get no answer in time.
-  int questions_ = 0;
+  int silent_for_ = 0;  ///< Requests that get no reply in time.
+  int requests_ = 0;
   std::unique_ptr<wire::Server> server_;
 };
 
@@ -208,51 +208,51 @@
   slow_statuses(milliseconds(20));
   EXPECT_EQ(read_at_all(), kAskers);
   RecordProperty("statuses_asked", statuses());
-  EXPECT_LE(statuses(), 4 * 3) << "rounds of three statuses each";
+  EXPECT_LE(statuses(), 4 * 3) << "at most four rounds of three status requests";
   for (const auto& daemon : askers_) {
     EXPECT_EQ(daemon->backends.rounds().begun, 0U);
   }
 }
 
-TEST_F(ProofSharingTest, WithoutTheOwnersRoundsEachDaemonAsksForItself) {
+TEST_F(ProofSharingTest, WithoutTheOwnersRoundsEachDaemonRunsItsOwn) {
   older_version_ = true;
   slow_statuses(milliseconds(20));
   EXPECT_EQ(read_at_all(), kAskers);
   RecordProperty("statuses_asked", statuses());
-  EXPECT_GE(statuses(), kAskers) << "else sharing would gain nothing";
+  EXPECT_GE(statuses(), kAskers) << "otherwise sharing proofs would save nothing";
 }
 
-TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheDaemonsOwnRound) {
+TEST_F(ProofSharingTest, ASilentOwnerIsFollowedByTheDaemonsOwnRound) {
   silent_for_ = 100;
   EXPECT_FALSE(read(*askers_[0]).failure);
-  EXPECT_EQ(questions_, 1);
+  EXPECT_EQ(requests_, 1);
   EXPECT_GE(askers_[0]->backends.rounds().begun, 1U);
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 0U);
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 0U);
 }
 
-TEST_F(ProofSharingTest, AnOwnerThatIsSilentIsFollowedByTheNextOne) {
-  add_daemon(configuration_, "owner-2", "zone-owner");  // Behind the same server.
+TEST_F(ProofSharingTest, ASilentOwnerIsFollowedByTheNextOwner) {
+  add_daemon(configuration_, "owner-2", "zone-owner");  // Served by the same server.
   for (protocol::Database& database : configuration_.groups.begin()->second.databases) {
     database.max_owners = 2;
   }
   askers_[0]->apply(configuration_);
   silent_for_ = 1;
   EXPECT_FALSE(read(*askers_[0]).failure);
-  EXPECT_EQ(questions_, 2);
+  EXPECT_EQ(requests_, 2);
   EXPECT_EQ(askers_[0]->backends.rounds().begun, 0U);
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 1U);
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 1U);
 }
 
-TEST_F(ProofSharingTest, AnOwnerWithATermThatTheDaemonLacksShowsItNothing) {
+TEST_F(ProofSharingTest, AProofFromAnOwnerWithANewerTermIsNotUsed) {
   protocol::Configuration newer = configuration_;
   newer.groups.begin()->second.terms.push_back(protocol::TermStart{2, kA, {}});
   owner_.apply(newer);
-  EXPECT_FALSE(read(*askers_[0]).failure) << "its own round serves it";
-  EXPECT_EQ(askers_[0]->backends.primary_questions().told, 0U);
+  EXPECT_FALSE(read(*askers_[0]).failure) << "the daemon's own round proves the primary";
+  EXPECT_EQ(askers_[0]->backends.proof_request_counters().answered, 0U);
   EXPECT_EQ(askers_[0]->backends.rounds().shown, 1U);
 }
 
-TEST_F(ProofSharingTest, ARoundUnderWayServesNoQuestionThatCameAfterItsBeginning) {
+TEST_F(ProofSharingTest, ARoundInProgressAnswersNoRequestThatCameAfterItsStart) {
   slow_statuses(milliseconds(30));
   const auto first = ask_owner(0);
   pause(milliseconds(10));
@@ -262,25 +262,25 @@
   EXPECT_TRUE(first->value->has_value());
   ASSERT_TRUE(older->value->has_value());
   EXPECT_GE(older->value->value().age_ms, 10U);
-  EXPECT_FALSE(second->done()) << "only one that may be older is served by the round under way";
+  EXPECT_FALSE(second->done()) << "the current round may answer only a request that accepts an older proof";
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return second->done(); }));
   ASSERT_TRUE(second->value->has_value());
   EXPECT_EQ(second->value->value().age_ms, 0U);
   EXPECT_EQ(owner_.backends.rounds().begun, 2U);
 }
 
-TEST_F(ProofSharingTest, DatabasesThatShowNothingGetAnErrorInTime) {
+TEST_F(ProofSharingTest, WithoutAProofTheOwnerReturnsAnErrorInTime) {
   owner_.connector.database("b").fails_status = true;
   owner_.connector.database("c").fails_status = true;
   const core::Instant begun = core::BootClock::now();
   const auto asked = ask_owner(0);
   ASSERT_TRUE(pipitpond::testing::run_until(io_, [&] { return asked->done(); }));
   EXPECT_FALSE(asked->value->has_value());
-  EXPECT_LT(core::BootClock::now() - begun, kOwnersProofTimeout + kProofRoundTripAllowance);
+  EXPECT_LT(core::BootClock::now() - begun, kOwnerProofTimeout + kProofRoundTripAllowance);
 }
 
-TEST_F(ProofSharingTest, AnUnknownGroupAndAMalformedQuestionAreRefused) {
-  ShownPrimaryRequest unknown = question(0);
+TEST_F(ProofSharingTest, AnUnknownGroupAndAMalformedRequestAreRefused) {
+  ShownPrimaryRequest unknown = proof_request(0);
   unknown.group = core::GroupName("x");
   for (const std::string& body : {wire::pack(unknown), std::string("\x93nonsense"), std::string()}) {
     const auto answer =
@@ -289,11 +289,11 @@
   }
 }
 
-TEST_F(ProofSharingTest, AnAnswerThatComesTwiceOrLateTakesNothingBack) {
+TEST_F(ProofSharingTest, ADuplicateOrLateReplyNeverReplacesANewerProof) {
   PrimaryRounds rounds(io_, {});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived + milliseconds(50), {1, 9}});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
-  rounds.note_told(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived + milliseconds(50), {1, 9}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
+  rounds.add_proof(kGroup, ShownPrimary{kA, kArrived, {1, 5}});
   ASSERT_NE(rounds.shown(kGroup), nullptr);
   EXPECT_EQ(rounds.shown(kGroup)->begun, kArrived + milliseconds(50));
   EXPECT_EQ(rounds.shown(kGroup)->position, (core::LogPosition{1, 9}));
